--- a/src/corkcrank/contracts/request_fingerprint.py
+++ b/src/corkcrank/contracts/request_fingerprint.py
@@ -1,4 +1,4 @@
-"""Names a request by what it asks for, so that it is known again when it is sent again.
+"""Computes a fingerprint of a request's content, by which a repeated request is recognized.
 
 A caller that repeats a request gives it a new id. Path, caller and body stay the same.
 """
@@ -6,16 +6,16 @@
 from hashlib import blake2b
 
 FINGERPRINT_BYTES = 8
-"""Length of a fingerprint. Among a million requests two share one by chance with a probability of
-3e-8; one that matches a given request of another caller takes some 2^64 tries."""
+"""Length of a fingerprint. The probability that any two of a million requests collide is 3e-8.
+Finding a request that matches a given request of another caller takes some 2^64 attempts."""
 
 _PURPOSE = b"request"
 
 
 def request_fingerprint(caller: str, target: str, body: bytes) -> str:
-    """Return the fingerprint of a request, in hex; nothing of the request can be read from it.
+    """Return the fingerprint of a request in hex; the request cannot be recovered from it.
 
-    Each part goes in with its length, so that no two requests are the same bytes.
+    Each part is prefixed with its length, so that different requests never yield the same input.
 
     >>> request_fingerprint("a", "/bc", b"") == request_fingerprint("ab", "/c", b"")
     False
--- a/src/corkcrank/contracts/request_release.py
+++ b/src/corkcrank/contracts/request_release.py
@@ -1,4 +1,7 @@
-"""How an operator frees a quarantined request: asked of any node, told to all by it."""
+"""Defines the operator's request to release a quarantined request.
+
+The operator sends it to any node, which reports the release to all others.
+"""
 
 import re
 
@@ -7,13 +10,13 @@
 from corkcrank.contracts.request_fingerprint import FINGERPRINT_BYTES
 
 RELEASE_REQUEST_PATH = "/requests/release"
-"""Takes a fingerprint in hex as its body."""
+"""Path to which a fingerprint is sent, in hex, as the body."""
 
 _FINGERPRINT = re.compile(f"[0-9a-f]{{{2 * FINGERPRINT_BYTES}}}")
 
 
 class ReleaseAnswer(msgspec.Struct, frozen=True):
-    """What the node held of the request before, and holds now."""
+    """The request's quarantine state at the node before and after the release."""
 
     request: str
     before: str
@@ -21,7 +24,7 @@
 
 
 def is_fingerprint(text: str) -> bool:
-    """Return whether a text is a request's fingerprint as logs show it.
+    """Return whether a text is a request's fingerprint in the form used in logs.
 
     >>> is_fingerprint("5f0c2d9e81a3b764"), is_fingerprint("5f0c")
     (True, False)
--- a/src/corkcrank/scheduling/crash_records.py
+++ b/src/corkcrank/scheduling/crash_records.py
@@ -1,9 +1,11 @@
-"""What one gateway knows of workers that ended, by all that it saw and was told.
-
-Records are united: a request that anybody saw at a worker was there, what one gateway has cleared
-is cleared, and of several runs the one counts that went least far. So reports may come twice and in
-any order. Ages are told, not times: clocks of machines are not compared, and of two times of the
-same end the earlier stands, so that none moves on by being passed on. Pure: the time is handed in.
+"""Stores one gateway's records of worker crashes, merged from local observations and peer reports.
+
+Merging is commutative and idempotent, so reports may arrive repeatedly and in any order: a request
+that any gateway saw at a worker was there, a request that any gateway cleared is cleared, and of
+several runs of a request the one that progressed least counts. Reports hold ages instead of times,
+since the clocks of machines are not compared. Of two times of the same crash the earlier one is
+kept, so that relaying a report never makes the crash more recent. The module has no side effects
+and reads no clock: callers pass the current time.
 """
 
 import math
@@ -17,18 +19,19 @@
 )
 
 SETTLE_SECONDS = 1.25
-"""Time without another request after which a record is judged: news has reached all gateways, and
-one that died meanwhile is known to have died."""
+"""A record is used for verdicts once no request was added for this time. By then updates have
+reached all gateways, and a gateway that failed meanwhile has been detected."""
 
 LONGEST_SETTLE_SECONDS = 2.0
-"""A record is judged after this time whatever still comes: within the 3 s by which all gateways
-have to act on an end."""
+"""A record is used for verdicts after this time even if requests are still being added. It lies
+within the 3 s in which all gateways have to act on a crash."""
 
 LOSS_MARGIN_SECONDS = 0.5
-"""A gateway may not have told of workers that ended up to this long before it was last heard."""
+"""A failed gateway may not have reported crashes up to this long before its last heartbeat."""
 
 MOST_RECORDS = 512
-"""Ends that are remembered. Those whose requests ended the fewest workers are forgotten first."""
+"""Maximum number of stored records. Those whose requests crashed the fewest workers are removed
+first."""
 
 NEVER = float("-inf")
 
@@ -41,10 +44,11 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """The end of one worker's incarnation; times are of the own clock.
+    """The crash of one worker incarnation; times are of the local clock.
 
-    ``known_at`` is when it was first known here, ``grown_at`` when a request was last added,
-    ``changed_at`` when anything changed, and ``told_at`` when it was last told since.
+    ``at`` is the time of the crash, ``known_at`` when the crash was first known at this gateway,
+    and ``grown_at`` when a request was last added. ``changed_at`` is the time of the last change,
+    and ``told_at`` when the record was last reported after that change.
     """
 
     worker_id: str
@@ -58,12 +62,12 @@
 
     @property
     def settles_at(self) -> float:
-        """Return from when it is judged."""
+        """Return the time from which the record is used for verdicts."""
         latest = self.known_at + LONGEST_SETTLE_SECONDS
         return min(latest, self.grown_at + SETTLE_SECONDS)
 
     def add(self, item: RequestAtEnd, now: float) -> bool:
-        """Take that a request was there; return whether that changes what is known."""
+        """Add a request that was in progress; return whether the record changed."""
         known = self.requests.get(item.request)
         if known is None:
             if len(self.requests) >= MOST_REQUESTS_AT_END:
@@ -81,7 +85,7 @@
         return True
 
     def clear(self, request: str, now: float) -> bool:
-        """Take that a request ended well; return whether it counted as a suspect."""
+        """Clear a request that completed successfully; return whether it was a suspect."""
         entry = self.requests.get(request)
         if entry is None or entry.cleared:
             return False
@@ -90,7 +94,7 @@
         return True
 
     def mark_incomplete(self, now: float) -> bool:
-        """Take that the worker may have had unknown requests; return whether that is news."""
+        """Record that the worker may have had unknown requests; return whether that is new."""
         if self.incomplete:
             return False
         self.incomplete = True
@@ -98,11 +102,11 @@
         return True
 
     def suspects(self) -> list[str]:
-        """Return the requests that were there and have not ended well since."""
+        """Return the requests that were in progress and have not completed successfully since."""
         return [request for request, entry in self.requests.items() if not entry.cleared]
 
     def report(self, now: float) -> CrashReport:
-        """Return what is told of it; the age is rounded down, so that no end becomes earlier."""
+        """Return the report for peers; the age is rounded down, so the crash gets no earlier."""
         age = max(0.0, math.floor((now - self.at) * 1000.0) / 1000.0)
         items = [
             RequestAtEnd(request, entry.progressed, entry.cleared)
@@ -116,12 +120,12 @@
 
 
 class CrashRecords:
-    """Every end that is remembered, by worker and by request."""
+    """All stored crash records, indexed by worker and by request."""
 
     def __init__(self) -> None:
         self._records: dict[str, CrashRecord] = {}
         self._workers: dict[str, set[str]] = {}
-        """The workers that ended with each request."""
+        """The workers that crashed with each request in progress."""
 
     def __len__(self) -> int:
         return len(self._records)
@@ -130,25 +134,25 @@
         return iter(self._records.values())
 
     def requests(self) -> Collection[str]:
-        """Return every request that is remembered."""
+        """Return every request that a stored record names."""
         return self._workers.keys()
 
     def of_request(self, request: str) -> list[CrashRecord]:
-        """Return the ends of the workers that had a request."""
+        """Return the records of the workers that crashed with a request in progress."""
         return [self._records[worker_id] for worker_id in self._workers.get(request, ())]
 
     def suspected_ends(self, request: str) -> list[CrashRecord]:
-        """Return those of them that no good end of the request has cleared."""
+        """Return the records of a request's crashes that no successful run has cleared."""
         return [
             record for record in self.of_request(request) if not record.requests[request].cleared
         ]
 
     def newest_end(self, request: str) -> float:
-        """Return when a worker last ended with a request."""
+        """Return when a worker last crashed with a request in progress."""
         return max((record.at for record in self.of_request(request)), default=NEVER)
 
     def add(self, worker_id: str, at: float, item: RequestAtEnd, now: float) -> bool:
-        """Take that a request was at a worker that ended; return whether that is news."""
+        """Record a request that a crashed worker had; return whether the records changed."""
         record = self._records.get(worker_id)
         if record is None:
             record = CrashRecord(worker_id, at, known_at=now, grown_at=now, changed_at=now)
@@ -161,7 +165,7 @@
         return news
 
     def take(self, report: CrashReport, now: float) -> bool:
-        """Take a report without a problem; return whether anything of it is news."""
+        """Merge a valid report; return whether the records changed."""
         at = now - report.age
         news = [self.add(report.worker_id, at, item, now) for item in report.requests()]
         record = self._records.get(report.worker_id)
@@ -170,19 +174,20 @@
         return any(news)
 
     def clear(self, request: str, now: float) -> bool:
-        """Take that a request ended well; return whether any end counted against it."""
+        """Clear a request that completed; return whether any crash counted against it."""
         return any([record.clear(request, now) for record in self.of_request(request)])
 
     def note_loss(self, last_heard_at: float, now: float) -> bool:
-        """Take that a gateway is gone that was last heard at a time; return whether it matters.
+        """Record the failure of a gateway; return whether the records changed.
 
-        What it had at workers that ended since, or shortly before, it could not tell any more.
+        The gateway could not report its requests at workers that crashed after its last heartbeat,
+        or shortly before it. So the records of these crashes are marked incomplete.
         """
         since = last_heard_at - LOSS_MARGIN_SECONDS
         return any([record.mark_incomplete(now) for record in self if record.at >= since])
 
     def forget(self, worker_id: str) -> None:
-        """Forget one end."""
+        """Remove the record of one worker."""
         for request in self._records.pop(worker_id).requests:
             workers = self._workers[request]
             workers.discard(worker_id)
--- a/src/corkcrank/scheduling/crash_reports.py
+++ b/src/corkcrank/scheduling/crash_reports.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other of a worker that ended: every request that it had, in one piece.
+"""Defines the messages in which gateways report worker crashes and trials on probation.
 
-An end has several suspects, and what is known of one is the defence of the others. So the unit that
-is told, kept and judged is the end of one worker's incarnation with all requests that were in
-progress there, never one request alone.
+A crash has several suspects, and evidence against one of them exonerates the others. So the unit
+that is reported, stored and evaluated is the crash of one worker incarnation with all requests that
+were in progress there, never a single request.
 """
 
 from collections.abc import Iterable
@@ -13,24 +13,24 @@
 from corkcrank.contracts.request_fingerprint import FINGERPRINT_BYTES
 
 BEGINNING_SECONDS = 0.25
-"""A run that went on for longer after its first event has hardly ended its worker: one that
-crashes it does so as it begins."""
+"""A run that lasted longer than this after its first event is unlikely to have crashed its worker:
+requests that crash workers do so early in their run."""
 
 MOST_REQUESTS_AT_END = 64
-"""Requests of one end that are kept; a worker that had more leaves an incomplete record."""
+"""Maximum number of requests in one record; a worker that had more gets an incomplete record."""
 
 LONGEST_AGE_SECONDS = 7200.0
-"""Ends that are older are not believed. Twice the longest quarantine."""
+"""Reports of older crashes are rejected. Twice the longest quarantine."""
 
 _PROGRESSED = 0x01
 _CLEARED = 0x02
 
 
 class RequestAtEnd(NamedTuple):
-    """A request that a worker had at its end.
+    """A request that was in progress when its worker crashed.
 
-    ``progressed`` says that its run had gone on for longer than requests do that crash their
-    worker, ``cleared`` that it has ended well since.
+    ``progressed`` is true if the run had lasted longer than those that crash their worker usually
+    do, ``cleared`` if the request has completed successfully since.
     """
 
     request: str
@@ -39,11 +39,11 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True):
-    """A worker's incarnation that ended ``age`` seconds ago, and the requests that it had.
+    """The crash of a worker incarnation ``age`` seconds ago, and the requests in progress there.
 
-    ``fingerprints`` holds those of all requests, one after the other, and ``marks`` a byte for
-    each: whether it had progressed, and whether it was cleared. ``incomplete`` says that the
-    worker may have had requests that nobody could tell.
+    ``fingerprints`` is the concatenation of all requests' fingerprints. ``marks`` holds one byte of
+    flags for each request: progressed and cleared. ``incomplete`` is true if the worker may have
+    had requests that no gateway reported.
     """
 
     worker_id: str
@@ -56,7 +56,7 @@
     def of(
         cls, worker_id: str, age: float, requests: Iterable[RequestAtEnd], *, incomplete: bool
     ) -> "CrashReport":
-        """Return a report in its wire form.
+        """Build a report in its wire form.
 
         >>> one = RequestAtEnd("00112233445566ff", progressed=True)
         >>> CrashReport.of("w", 0.5, [one], incomplete=False).requests() == [one]
@@ -72,7 +72,7 @@
         )
 
     def requests(self) -> list[RequestAtEnd]:
-        """Return the requests of a report without a problem."""
+        """Return the requests of a valid report."""
         size = FINGERPRINT_BYTES
         return [
             RequestAtEnd(
@@ -84,7 +84,7 @@
         ]
 
     def problem(self) -> str:
-        """Return why nothing of the report can be believed, empty if it can.
+        """Return why the report is invalid, or an empty text if it is valid.
 
         >>> CrashReport("w", 0.0, bytes(8), b"").problem()
         'fingerprints and marks differ in number'
@@ -103,14 +103,14 @@
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
-    """The newest attempt on probation, by its number, begun ``age`` seconds ago."""
+    """The latest attempt on probation: its sequence number, and its age in seconds."""
 
     number: int
     age: float
 
 
 class TrialReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway tells of a request on probation; ``reserved`` holds a place on the wire."""
+    """The state of a request on probation; ``reserved`` is an unused position on the wire."""
 
     request: str
     reserved: tuple[Any, ...] = ()
--- a/src/corkcrank/scheduling/crash_verdicts.py
+++ b/src/corkcrank/scheduling/crash_verdicts.py
@@ -1,9 +1,9 @@
-"""Which requests are to blame for the ends of workers, by the records of those ends.
+"""Decides which requests are to blame for worker crashes, based on the crash records.
 
-Of the requests that a worker had at its end one may have crashed it. A request is blamed once
-enough ends are explained by nothing else: not by a request that is blamed already, and not by
-another one that was at the same workers. The verdict depends on the records alone, not on the order
-in which they came. Pure.
+One of the requests that were in progress at a worker may have crashed it. A request is blamed once
+enough crashes have no other explanation: neither a request that is already blamed, nor another
+request that was at the same workers. The verdicts depend only on the records, not on the order in
+which they arrived. The module has no side effects.
 """
 
 from collections import Counter
@@ -13,16 +13,16 @@
 from corkcrank.scheduling.crash_records import CrashRecord
 
 QUARANTINE_ENDS = 3
-"""Workers whose ends nothing else explains, by which a request is quarantined."""
+"""Minimum number of crashes without another explanation for which a request is quarantined."""
 
 CERTAIN_ENDS = 5
-"""Ends that quarantine a request even where others may explain them: two more than those by which
-it has to be known, of the three that it may crash after that."""
+"""Minimum number of crashes for which a request is quarantined even if other requests may explain
+them: two more than the minimum above, of the three further crashes that a request may cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Why a request is blamed: the ends held against it, and the nearest rival's part of them."""
+    """Why a request is blamed: its unexplained crashes, and how many its nearest rival shares."""
 
     workers: frozenset[str]
     rival: str = ""
@@ -31,11 +31,11 @@
 
 @dataclass(slots=True)
 class _Evidence:
-    """The suspects of each end, and the ends of each suspect.
+    """An index of the crash records by suspect and by worker.
 
-    ``ends`` are all, ``beginnings`` those of complete records as the request began to run, and
-    ``began_at`` the same by worker. ``progressed`` holds the requests with a run that had gone on
-    for a while at one end or more.
+    ``ends`` holds the crashed workers of each request. ``beginnings`` is the subset with a complete
+    record and an early run of the request, and ``began_at`` holds the same pairs by worker.
+    ``progressed`` holds the requests whose run had progressed at one crash or more.
     """
 
     ends: dict[str, set[str]] = field(default_factory=dict)
@@ -44,7 +44,7 @@
     progressed: set[str] = field(default_factory=set)
 
     def add(self, record: CrashRecord) -> None:
-        """Take the end of one worker."""
+        """Add the crash record of one worker."""
         began = self.began_at[record.worker_id] = []
         for request, entry in record.requests.items():
             if entry.cleared:
@@ -57,12 +57,12 @@
                 began.append(request)
 
     def neighbours(self, request: str) -> set[str]:
-        """Return the requests that began at workers which ended with a request."""
+        """Return the requests with an early run at workers that crashed with a request."""
         return {other for worker_id in self.ends[request] for other in self.began_at[worker_id]}
 
 
 def judge(records: Iterable[CrashRecord]) -> Mapping[str, Verdict]:
-    """Return the requests to blame, with the reason for each."""
+    """Return the requests to blame, with the reason for each verdict."""
     evidence = _Evidence()
     for record in records:
         evidence.add(record)
@@ -71,10 +71,10 @@
 
 
 def _certain(evidence: _Evidence, blamed: Mapping[str, Verdict]) -> dict[str, Verdict]:
-    """Return the requests that are blamed for the number of their ends, whatever rival they have.
+    """Return the requests that are blamed for the number of their crashes, regardless of rivals.
 
-    A run that had gone on at one of them speaks for its request as long as others explain the
-    ends. Of those without one, any may crash workers.
+    Requests without a progressed run are evaluated first, since each of them may crash workers. A
+    progressed run exonerates its request as long as other requests explain the crashes.
     """
     many = [request for request, ends in evidence.ends.items() if len(ends) >= CERTAIN_ENDS]
     found: dict[str, Verdict] = {}
@@ -93,9 +93,10 @@
 
 
 def _blame(evidence: _Evidence, known: Mapping[str, Verdict]) -> dict[str, Verdict]:
-    """Return the requests to blame beside known ones, the surest first.
+    """Extend known verdicts by further requests to blame, in order of decreasing certainty.
 
-    What one request explains no longer counts against the others, so they are weighed again.
+    Crashes that a blamed request explains no longer count against its neighbours, so the cases of
+    the neighbours are evaluated again.
     """
     blamed = dict(known)
     explained = _explained(evidence, blamed)
@@ -121,9 +122,9 @@
 
 
 class _Case:
-    """What speaks against one request: the ends that nothing explains, and its nearest rival.
+    """The evidence against one request: its unexplained crashes, and its nearest rival.
 
-    ``lead`` counts the ends that the nearest rival cannot explain.
+    ``lead`` is the number of these crashes that the nearest rival cannot explain.
     """
 
     def __init__(
--- a/src/corkcrank/scheduling/request_quarantine.py
+++ b/src/corkcrank/scheduling/request_quarantine.py
@@ -1,13 +1,15 @@
-"""Which requests crash the workers that run them, by what all gateways have seen.
-
-A worker that ends breaks every call it had, so its end says little of any one of them. A request
-under which one worker after the other ends, at whichever gateway it came in, and which never ends
-well, is kept from workers: it is quarantined. After that it is on probation: one attempt in the
-whole fleet at a time, until one ends well or quarantines it again, for longer.
-
-No verdict is given on an end before other gateways had the time to tell which requests the worker
-had (:mod:`crash_records`). A request that waits for its verdict is not sent meanwhile. Who is to
-blame is decided by :mod:`crash_verdicts`. Pure: the time is handed in.
+"""Quarantines requests that crash the workers that run them, using evidence of all gateways.
+
+A worker crash interrupts every call in progress there, so a single crash says little about any one
+of them. A request is quarantined, that is, no longer sent to workers, if several workers crash
+while running it, at any gateway, and it never completes successfully. After its quarantine the
+request is on probation: one attempt at a time in the whole fleet, until an attempt completes
+successfully, or crashes a worker and so starts a longer quarantine.
+
+A crash counts only once other gateways had time to report which requests the worker had
+(:mod:`crash_records`). A request that awaits its verdict is not sent meanwhile.
+:mod:`crash_verdicts` decides which requests are to blame. The module has no side effects and reads
+no clock: callers pass the current time.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,48 +21,50 @@
 from corkcrank.scheduling.crash_verdicts import CERTAIN_ENDS, QUARANTINE_ENDS, Verdict, judge
 
 TRIAL_SECONDS = 30.0
-"""Time that an attempt on probation has: the longest that a caller waits by default."""
+"""Time reserved for one attempt on probation: the default maximum wait of a caller."""
 
 EVIDENCE_SECONDS = 600.0
-"""An end is forgotten after this time where no request was quarantined for it."""
+"""Retention of a crash record for which no request was quarantined."""
 
 QUARANTINE_SECONDS = 60.0
-"""First quarantine. Each further end doubles it: a request that crashes workers costs one of them
-at most for each probation."""
+"""Length of the first quarantine. Each further crash doubles it: a request that crashes workers
+crashes at most one for each probation."""
 
 LONGEST_QUARANTINE_SECONDS = 3600.0
-"""Longest time for which a request is shut out without another try."""
+"""Maximum time for which a request is quarantined without another attempt."""
 
 MOST_DOUBLINGS = 12
-"""More ends make no quarantine longer."""
+"""Crashes beyond this number of doublings do not extend the quarantine."""
 
 NEWS_SECONDS = 1.5
-"""Time for which a change is told, or two heartbeats where these come more seldom."""
+"""Time for which a change is reported, or two heartbeat intervals if those are longer."""
 
 MOST_TOLD = 6
-"""Ends that one heartbeat tells of, changed ones first; the others take turns."""
+"""Maximum number of crashes, or of trials, in one heartbeat. Changed crash records come first, the
+others in round-robin order."""
 
 MOST_REQUESTS_TOLD = 24
-"""Requests of all these ends together, unless a single end has more: an end is told whole."""
+"""Maximum number of requests in these crash reports together. A single crash with more requests is
+still reported whole."""
 
 SUSPECT_SECONDS = 1.0
-"""Time between two heartbeats that tell again of ends without a blamed request, which bounds their
-bytes. Gateways that were cut off from each other unite what each saw."""
+"""Interval at which heartbeats repeat crashes without a blamed request, which bounds their bytes.
+The repetition lets gateways merge their evidence after a network partition."""
 
 
 TURN_ENDS = 2
-"""Ends from which on requests that were at all the same ones are sent one after the other."""
+"""Minimum number of crashes from which requests that share all of them are sent one at a time."""
 
 TURN_SECONDS = 0.5
-"""Time between two of them: a sound one has had its first event, and gone on for a while, before
-the next is sent."""
+"""Interval between two such requests: a healthy one gets its first event and progresses for a while
+before the next one is sent."""
 
 MOST_TURNS = 4
-"""Requests that one waits for at most; the rest go together."""
+"""Maximum number of requests that one request waits for; all later ones are sent together."""
 
 
 class RequestState(StrEnum):
-    """What is held of a request."""
+    """The quarantine state of a request."""
 
     SOUND = "sound"
     SUSPECTED = "suspected"
@@ -70,7 +74,7 @@
 
 @dataclass(slots=True)
 class _Trials:
-    """Attempts on probation: their number, and when the newest began."""
+    """The attempts of one request on probation: their number, and when the latest began."""
 
     number: int = 0
     at: float = NEVER
@@ -78,7 +82,7 @@
 
 
 class RequestQuarantine:
-    """The evidence about every request under which a worker ended, of all gateways."""
+    """The evidence of all gateways on every request that was in progress at a worker crash."""
 
     def __init__(self) -> None:
         self.records = CrashRecords()
@@ -89,7 +93,7 @@
 
     @property
     def empty(self) -> bool:
-        """Return whether no request needs to be looked up."""
+        """Return whether there is no crash record, so that no request has to be checked."""
         return not self.records
 
     def note_end(
@@ -100,27 +104,27 @@
         *,
         progressed: bool = False,
     ) -> bool:
-        """Take that a worker ended with a request in progress; return whether that is new.
+        """Record that a worker crashed with a request in progress; return whether that is new.
 
-        ``progressed`` says that its run had gone on for a while.
+        ``progressed`` is true if the request had been running for a while.
         """
         news = self.records.add(worker_id, now, RequestAtEnd(request, progressed), now)
         return self._judge_again(news)
 
     def note_sound(self, request: str, now: float) -> bool:
-        """Take that a request ended well; return whether anything counted against it."""
+        """Record that a request completed; return whether any crash counted against it."""
         return self._judge_again(self.records.clear(request, now))
 
     def note_loss(self, last_heard_at: float, now: float) -> bool:
-        """Take that a gateway is gone without a word; return whether that changes any evidence."""
+        """Record that a gateway failed without notice; return whether any evidence changed."""
         return self._judge_again(self.records.note_loss(last_heard_at, now))
 
     def take(self, report: CrashReport, now: float) -> bool:
-        """Take what a peer, or the store, tells of an end; return whether it was not known."""
+        """Apply a crash report of a peer or of the store; return whether any evidence changed."""
         return self._judge_again(self.records.take(report, now))
 
     def take_trial(self, report: TrialReport, now: float) -> bool:
-        """Take what a peer tells of a trial; return whether it is a later one."""
+        """Apply a peer's trial report; return whether the trial is later than the known one."""
         if report.trial is None:
             return False
         at = now - report.trial.age
@@ -133,7 +137,7 @@
         return True
 
     def state(self, request: str, now: float) -> RequestState:
-        """Return what is held of a request."""
+        """Return the state of a request."""
         if request in self.verdicts(now):
             over = now >= self._released_at(request)
             return RequestState.PROBATION if over else RequestState.QUARANTINED
@@ -143,7 +147,7 @@
     def seconds_left(self, request: str, now: float) -> float:
         """Return for how many seconds a request may not be sent to a worker, 0 if it may.
 
-        On probation it may be sent again once the last attempt had its time.
+        On probation it may be sent again once ``TRIAL_SECONDS`` have passed since the last attempt.
         """
         state = self.state(request, now)
         if state is RequestState.QUARANTINED:
@@ -156,8 +160,9 @@
     def seconds_to_wait(self, request: str, now: float) -> float:
         """Return how long a request that is not blamed waits before it is sent, 0 if it need not.
 
-        It waits for its verdict if it may be blamed by what is known but is not settled yet. Those
-        that were at the same ends then take turns, so that the next end tells them apart.
+        It waits for its verdict if records that are not decidable yet may lead to its blame.
+        Requests that share the same crashes are then sent one at a time, so that the next crash
+        distinguishes them.
         """
         ends = self.records.suspected_ends(request)
         if len(ends) < TURN_ENDS or request in self.verdicts(now):
@@ -169,11 +174,11 @@
         return max(0.0, begins_at + turn - now)
 
     def is_undecided(self, request: str, now: float) -> bool:
-        """Return whether an end counts against a request that is not judged yet."""
+        """Return whether a crash that counts against a request is not decidable yet."""
         return any(record.settles_at > now for record in self.records.suspected_ends(request))
 
     def note_sent(self, request: str, now: float) -> bool:
-        """Take that a request goes to a worker; return whether that is its trial on probation."""
+        """Record that a request is sent; return whether this is an attempt on probation."""
         if self.empty or self.state(request, now) is not RequestState.PROBATION:
             return False
         before = self._trials.get(request, _Trials())
@@ -181,10 +186,10 @@
         return True
 
     def reported(self, now: float, interval: float) -> tuple[CrashReport, ...]:
-        """Return what a heartbeat tells of ends; ``interval`` is the time between two.
+        """Return the crash reports of one heartbeat; ``interval`` is the time between heartbeats.
 
-        Changed ones come first. Whoever was cut off, or has started since, hears of the others in
-        turn: the one that was not told for longest is next.
+        Changed records come first. The others follow for gateways that were partitioned or have
+        started since, ordered by the time since their last report, longest first.
         """
         self._forget_old(now)
         if self.empty:
@@ -198,30 +203,30 @@
         return tuple(record.report(now) for record in told)
 
     def reported_trials(self, now: float, interval: float) -> tuple[TrialReport, ...]:
-        """Return what a heartbeat tells of attempts on probation, the newest of them."""
+        """Return the reports of one heartbeat on probation attempts, latest changes first."""
         since = _news_since(now, interval) - TRIAL_SECONDS
         lately = [key for key, trials in self._trials.items() if trials.changed_at > since]
         lately.sort(key=lambda key: self._trials[key].changed_at, reverse=True)
         return tuple(self._trial_report(key, now) for key in lately[:MOST_TOLD])
 
     def all_reports(self, now: float) -> tuple[CrashReport, ...]:
-        """Return every end that is remembered, for a gateway that has just started."""
+        """Return reports of all stored crashes, for a gateway that has just started."""
         self._forget_old(now)
         return tuple(record.report(now) for record in self.records)
 
     def verdicts(self, now: float) -> Mapping[str, Verdict]:
-        """Return the requests to blame by all ends that are settled, with the reasons."""
+        """Return the requests to blame by all decidable records, with the reasons."""
         if now >= self._judged_until:
             self._verdicts = judge(self._settled(now))
             self._judged_until = self.next_settling(now)
         return self._verdicts
 
     def quarantined(self, now: float) -> list[str]:
-        """Return the requests that are or were quarantined and have not ended well since."""
+        """Return the blamed requests, in quarantine or on probation, in sorted order."""
         return sorted(self.verdicts(now))
 
     def next_settling(self, now: float) -> float:
-        """Return when the next end is judged that is not settled now."""
+        """Return when the next record becomes decidable, infinity if all are."""
         waiting = [item.settles_at for item in self.records if item.settles_at > now]
         return min(waiting, default=float("inf"))
 
@@ -238,7 +243,7 @@
         return max(record.at for record in ends) + quarantine_seconds(len(ends))
 
     def _turn(self, request: str, ends: list[CrashRecord], now: float) -> int:
-        """Return how many requests that were at all the same ends go before one."""
+        """Return how many requests that share all of these crashes are sent before a request."""
         verdicts = self.verdicts(now)
         rivals = set.intersection(*(set(record.suspects()) for record in ends))
         before = [key for key in rivals if key < request and key not in verdicts]
@@ -255,7 +260,7 @@
         return len(beginnings) >= QUARANTINE_ENDS
 
     def _in_turn(self, since: float, now: float) -> list[CrashRecord]:
-        """Return the ends that are no news, those not told for longest first."""
+        """Return the unchanged records that are to be reported, least recently reported first."""
         old = [record for record in self.records if record.changed_at <= since]
         if now - self._suspects_told_at >= SUSPECT_SECONDS:
             self._suspects_told_at = now
@@ -280,7 +285,7 @@
                 del self._trials[request]
 
     def _is_old(self, record: CrashRecord, now: float) -> bool:
-        """Return whether an end is forgotten: it says nothing of any request any more."""
+        """Return whether a record is to be removed: it is no evidence on any request any more."""
         if now - record.at <= EVIDENCE_SECONDS:
             return False
         return all(
@@ -296,7 +301,7 @@
 
 
 def quarantine_seconds(ends: int) -> float:
-    """Return how long a request is shut out after its last end.
+    """Return how long a request is quarantined after its last crash.
 
     >>> quarantine_seconds(QUARANTINE_ENDS), quarantine_seconds(5), quarantine_seconds(99)
     (60.0, 240.0, 3600.0)
@@ -310,7 +315,7 @@
 
 
 def _within_bounds(records: list[CrashRecord]) -> list[CrashRecord]:
-    """Return the first records that one heartbeat tells; the first of them in any case."""
+    """Return the records that fit into one heartbeat, in order; the first always fits."""
     told: list[CrashRecord] = []
     requests = 0
     for record in records[:MOST_TOLD]:
--- a/tests/scheduling/crash_play.py
+++ b/tests/scheduling/crash_play.py
@@ -1,7 +1,7 @@
-"""Plays requests that crash engines beside ordinary streams, at several gateways with lossy news.
+"""Simulates requests that crash engines among ordinary streams, at gateways that lose reports.
 
-On a virtual clock, without a network. Streams that an engine broke off are taken up at another one
-at once, so neighbours travel with the request at fault.
+It runs on a virtual clock, without a network. Streams that an engine interrupted are resumed at
+another engine at once, so the same streams keep sharing engines with the crashing request.
 """
 
 import heapq
@@ -13,16 +13,16 @@
 from corkcrank.scheduling.request_quarantine import RequestQuarantine
 
 HEARTBEAT = 0.25
-NEWS_SECONDS = (0.005, 0.08)
-NEWS_LOST = 0.05
-LOOK_SECONDS = (0.001, 0.01)
+REPORT_DELAY_SECONDS = (0.005, 0.08)
+REPORT_LOSS = 0.05
+DETECTION_SECONDS = (0.001, 0.01)
 RETRY_SECONDS = (0.001, 0.01)
 CRASH_SECONDS = (0.002, 0.03)
 FIRST_EVENT_SECONDS = (0.01, 0.2)
 STREAM_SECONDS = (0.05, 2.0)
-BACK_SECONDS = (0.3, 4.0)
-RETURN_SECONDS = (0.3, 1.0)
-CRASHER_RETURN_SECONDS = (0.05, 0.4)
+RECOVERY_SECONDS = (0.3, 4.0)
+RESEND_SECONDS = (0.3, 1.0)
+CRASHER_RESEND_SECONDS = (0.05, 0.4)
 CRASHER_SECONDS = 9.0
 BOUND_SECONDS = 3.0
 SUSPECT_SECONDS = 1.1
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True)
 class CrashLoad:
-    """Engines, gateways, ordinary streams at a time, and requests that crash engines at a time.
+    """Numbers of engines, gateways, concurrent ordinary streams and concurrent crashing requests.
 
-    ``event_first`` has an engine send an event before it crashes; ``kill`` has the gateway killed
-    through which a request has just ended its third engine.
+    With ``event_first`` an engine sends an event before it crashes. With ``kill`` the gateway is
+    killed through which a request has just crashed its third engine.
     """
 
     engines: int = 3
@@ -63,29 +63,29 @@
 @dataclass
 class _Engine:
     name: str
-    births: int = 0
-    away_until: float = 0.0
+    restarts: int = 0
+    unavailable_until: float = 0.0
     running: dict[int, _Run] = field(default_factory=dict)
 
     @property
     def incarnation(self) -> str:
-        return f"{self.name} {self.births}"
+        return f"{self.name} {self.restarts}"
 
 
 @dataclass
 class CrashOutcome:
-    """What became of a play; ``late`` counts ends of a crashing request past its bound."""
+    """Results of one simulation: requests by outcome, and the crash times of crashing requests."""
 
     ordinary: int = 0
     served: int = 0
-    held: set[str] = field(default_factory=set)
-    held_at_end: set[str] = field(default_factory=set)
+    quarantined_ordinary: set[str] = field(default_factory=set)
+    quarantined_at_end: set[str] = field(default_factory=set)
     ends: dict[str, list[float]] = field(default_factory=dict)
     quarantined_after: dict[str, int] = field(default_factory=dict)
 
     @property
-    def most_late(self) -> int:
-        """Return the most ends that one request caused later than allowed after its third."""
+    def max_late_crashes(self) -> int:
+        """Return the maximum number of crashes by one request past the bound after its third."""
         late = [
             sum(at > ends[2] + BOUND_SECONDS for at in ends)
             for ends in self.ends.values()
@@ -94,8 +94,8 @@
         return max(late, default=0)
 
 
-class CrashPlay:
-    """One play of some seconds."""
+class CrashSimulation:
+    """One simulation with several gateways that exchange crash reports."""
 
     def __init__(self, load: CrashLoad, seed: int) -> None:
         self._load = load
@@ -109,61 +109,61 @@
         self.outcome = CrashOutcome()
 
     def run(self, seconds: float = 15.0) -> CrashOutcome:
-        """Play for so many seconds."""
+        """Simulate for a number of seconds."""
         self._ends_at = seconds
         for _ in range(self._load.streams):
-            self._after((0.0, 0.5), self._new_call)
+            self._schedule_within((0.0, 0.5), self._start_call)
         for number in range(self._load.crashers):
             request = f"{0xC0 + number:016x}"
-            call = _Call(request, self._any_gateway(), crashing=True)
-            self._after((1.0, 1.03), self._sender(call))
+            call = _Call(request, self._random_gateway(), crashing=True)
+            self._schedule_within((1.0, 1.03), self._sender(call))
         for gateway in range(self._load.gateways):
-            self._after((0.0, HEARTBEAT), self._beater(gateway))
+            self._schedule_within((0.0, HEARTBEAT), self._heartbeat_sender(gateway))
         while self._events and self._events[0][0] < seconds:
             self.now, _, event = heapq.heappop(self._events)
             event()
-        self._look_at_verdicts()
+        self._record_verdicts()
         crashing = set(self.outcome.ends)
         for gateway in self.gateways:
-            self.outcome.held_at_end |= set(gateway.quarantined(self.now)) - crashing
+            self.outcome.quarantined_at_end |= set(gateway.quarantined(self.now)) - crashing
         return self.outcome
 
-    def _at(self, when: float, event: Callable[[], None]) -> None:
+    def _schedule(self, when: float, event: Callable[[], None]) -> None:
         self._numbers += 1
         heapq.heappush(self._events, (when, self._numbers, event))
 
-    def _after(self, bounds: tuple[float, float], event: Callable[[], None]) -> None:
-        self._at(self.now + self._random.uniform(*bounds), event)
+    def _schedule_within(self, bounds: tuple[float, float], event: Callable[[], None]) -> None:
+        self._schedule(self.now + self._random.uniform(*bounds), event)
 
-    def _any_gateway(self) -> int:
+    def _random_gateway(self) -> int:
         return self._random.randrange(self._load.gateways)
 
     def _sender(self, call: _Call) -> Callable[[], None]:
         return lambda: self._send(call)
 
-    def _beater(self, gateway: int) -> Callable[[], None]:
-        def beat() -> None:
-            self._tell(gateway)
-            self._after((0.9 * HEARTBEAT, 1.1 * HEARTBEAT), beat)
+    def _heartbeat_sender(self, gateway: int) -> Callable[[], None]:
+        def send_heartbeat() -> None:
+            self._send_reports(gateway)
+            self._schedule_within((0.9 * HEARTBEAT, 1.1 * HEARTBEAT), send_heartbeat)
 
-        return beat
+        return send_heartbeat
 
-    def _new_call(self) -> None:
+    def _start_call(self) -> None:
         self.outcome.ordinary += 1
-        self._send(_Call(f"{self.outcome.ordinary:08x}{0:08x}", self._any_gateway()))
+        self._send(_Call(f"{self.outcome.ordinary:08x}{0:08x}", self._random_gateway()))
 
     def _send(self, call: _Call) -> None:
         quarantine = self.gateways[call.gateway]
         if wait := quarantine.seconds_to_wait(call.request, self.now):
-            self._at(self.now + wait, self._sender(call))
+            self._schedule(self.now + wait, self._sender(call))
             return
         if quarantine.seconds_left(call.request, self.now) > 0.0:
-            self._note_held(call.request)
-            self._fail(call)
+            self._record_quarantined(call.request)
+            self._resend_later(call)
             return
-        usable = [engine for engine in self._engines if engine.away_until <= self.now]
+        usable = [engine for engine in self._engines if engine.unavailable_until <= self.now]
         if not usable:
-            self._fail(call)
+            self._resend_later(call)
             return
         call.attempts += 1
         self._run_at(self._random.choice(usable), call)
@@ -176,10 +176,10 @@
             first_event = self.now if self._load.event_first else float("inf")
         engine.running[number] = _Run(call, first_event)
         if call.crashing:
-            self._after(CRASH_SECONDS, lambda: self._crash(engine, incarnation, call))
+            self._schedule_within(CRASH_SECONDS, lambda: self._crash(engine, incarnation, call))
             return
         seconds = self._random.uniform(*STREAM_SECONDS)
-        self._at(first_event + seconds, lambda: self._finish(engine, incarnation, number))
+        self._schedule(first_event + seconds, lambda: self._finish(engine, incarnation, number))
 
     def _finish(self, engine: _Engine, incarnation: str, number: int) -> None:
         if engine.incarnation != incarnation or number not in engine.running:
@@ -187,7 +187,7 @@
         call = engine.running.pop(number).call
         self.gateways[call.gateway].note_sound(call.request, self.now)
         self.outcome.served += 1
-        self._new_call()
+        self._start_call()
 
     def _crash(self, engine: _Engine, incarnation: str, by: _Call) -> None:
         if engine.incarnation != incarnation:
@@ -195,61 +195,66 @@
         ends = self.outcome.ends.setdefault(by.request, [])
         ends.append(self.now)
         broken = list(engine.running.values())
-        engine.running, engine.births = {}, engine.births + 1
-        engine.away_until = self.now + self._random.uniform(*BACK_SECONDS)
+        engine.running, engine.restarts = {}, engine.restarts + 1
+        engine.unavailable_until = self.now + self._random.uniform(*RECOVERY_SECONDS)
         if self._load.kill and len(ends) == ATTEMPTS:
             gateway = by.gateway
-            self._after((0.0, 0.05), lambda: self._kill(gateway))
+            self._schedule_within((0.0, 0.05), lambda: self._restart_gateway(gateway))
         for run in broken:
             progressed = self.now - run.first_event > BEGINNING_SECONDS
-            self._after(LOOK_SECONDS, self._noter(run.call, incarnation, progressed=progressed))
-            self._go_on(run.call)
-
-    def _noter(self, call: _Call, incarnation: str, *, progressed: bool) -> Callable[[], None]:
+            self._schedule_within(
+                DETECTION_SECONDS,
+                self._crash_recorder(run.call, incarnation, progressed=progressed),
+            )
+            self._retry(run.call)
+
+    def _crash_recorder(
+        self, call: _Call, incarnation: str, *, progressed: bool
+    ) -> Callable[[], None]:
         gateway = self.gateways[call.gateway]
 
-        def note() -> None:
+        def record() -> None:
             if gateway is not self.gateways[call.gateway]:
                 return
             if gateway.note_end(call.request, incarnation, self.now, progressed=progressed):
-                self._after((0.0, 0.001), lambda: self._tell(call.gateway))
+                self._schedule_within((0.0, 0.001), lambda: self._send_reports(call.gateway))
 
-        return note
+        return record
 
-    def _go_on(self, call: _Call) -> None:
+    def _retry(self, call: _Call) -> None:
         if call.attempts < ATTEMPTS:
-            self._after(RETRY_SECONDS, self._sender(call))
+            self._schedule_within(RETRY_SECONDS, self._sender(call))
         else:
-            self._fail(call)
+            self._resend_later(call)
 
-    def _fail(self, call: _Call) -> None:
-        """Have the caller send the request again, at any gateway."""
-        again = _Call(call.request, self._any_gateway(), call.crashing, 0, call.sent + 1)
+    def _resend_later(self, call: _Call) -> None:
+        """Let the caller send the request again, at any gateway."""
+        again = _Call(call.request, self._random_gateway(), call.crashing, 0, call.sent + 1)
         if call.crashing:
             if self.now < CRASHER_SECONDS:
-                self._after(CRASHER_RETURN_SECONDS, self._sender(again))
+                self._schedule_within(CRASHER_RESEND_SECONDS, self._sender(again))
         elif call.sent < ATTEMPTS:
-            self._after(RETURN_SECONDS, self._sender(again))
+            self._schedule_within(RESEND_SECONDS, self._sender(again))
         else:
-            self._new_call()
+            self._start_call()
 
-    def _tell(self, gateway: int) -> None:
+    def _send_reports(self, gateway: int) -> None:
         source = self.gateways[gateway]
-        self._look_at_verdicts()
+        self._record_verdicts()
         reports = source.reported(self.now, HEARTBEAT)
         for target in range(self._load.gateways) if reports else ():
-            if target != gateway and self._random.random() >= NEWS_LOST:
-                self._after(NEWS_SECONDS, self._taker(target, reports))
+            if target != gateway and self._random.random() >= REPORT_LOSS:
+                self._schedule_within(REPORT_DELAY_SECONDS, self._report_receiver(target, reports))
 
-    def _taker(self, target: int, reports: tuple[CrashReport, ...]) -> Callable[[], None]:
-        def take() -> None:
+    def _report_receiver(self, target: int, reports: tuple[CrashReport, ...]) -> Callable[[], None]:
+        def receive() -> None:
             if any([self.gateways[target].take(item, self.now) for item in reports]):
-                self._after((0.0, 0.05), lambda: self._tell(target))
+                self._schedule_within((0.0, 0.05), lambda: self._send_reports(target))
 
-        return take
+        return receive
 
-    def _kill(self, gateway: int) -> None:
-        """Have a gateway start anew; the others notice after a while, and it asks one of them."""
+    def _restart_gateway(self, gateway: int) -> None:
+        """Restart a gateway; later the others detect that, and it reads the history of one."""
         last_heard_at = self.now
         self.gateways[gateway] = RequestQuarantine()
         for engine in self._engines:
@@ -257,9 +262,9 @@
                 if run.call.gateway == gateway:
                     del engine.running[number]
                     if not run.call.crashing:
-                        self._fail(run.call)
+                        self._resend_later(run.call)
 
-        def noticed() -> None:
+        def detect_failure() -> None:
             for other in self.gateways:
                 if other is not self.gateways[gateway]:
                     other.note_loss(last_heard_at, self.now)
@@ -267,15 +272,15 @@
             for report in source.all_reports(self.now):
                 self.gateways[gateway].take(report, self.now)
 
-        self._at(self.now + SUSPECT_SECONDS, noticed)
+        self._schedule(self.now + SUSPECT_SECONDS, detect_failure)
 
-    def _look_at_verdicts(self) -> None:
+    def _record_verdicts(self) -> None:
         for quarantine in self.gateways:
             for request in quarantine.quarantined(self.now):
-                self._note_held(request)
+                self._record_quarantined(request)
 
-    def _note_held(self, request: str) -> None:
+    def _record_quarantined(self, request: str) -> None:
         if request in self.outcome.ends:
             self.outcome.quarantined_after.setdefault(request, len(self.outcome.ends[request]))
         elif request[8:] == "0" * 8:
-            self.outcome.held.add(request)
+            self.outcome.quarantined_ordinary.add(request)
--- a/tests/scheduling/quarantine_play.py
+++ b/tests/scheduling/quarantine_play.py
@@ -1,4 +1,4 @@
-"""Plays ordinary calls at workers that end by themselves, and counts those that are blamed."""
+"""Simulates ordinary calls at workers that crash on their own, and counts calls that are blamed."""
 
 import heapq
 import random
@@ -10,21 +10,21 @@
 from corkcrank.scheduling.request_quarantine import RequestQuarantine, RequestState
 
 ATTEMPTS = 3
-"""Workers that a call goes to at most, and times that its caller sends it at most."""
+"""Maximum number of workers tried for a call, and of times that its caller sends it."""
 
 RETRY_SECONDS = 0.005
 FIRST_EVENT_SECONDS = (0.05, 1.0)
 STREAM_SECONDS = (0.0, 3.0)
-BACK_SECONDS = 3.0
-"""Time after which an ended worker is back."""
+RECOVERY_SECONDS = 3.0
+"""Time after which a crashed worker is available again."""
 
-RETURN_SECONDS = (0.3, 2.0)
-"""Pause of a caller before it sends a call again that failed."""
+RESEND_SECONDS = (0.3, 2.0)
+"""Pause of a caller before it resends a failed call, drawn from this range."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """Calls and ends of workers a second; mass ends take a share of all workers at once."""
+    """Calls and worker crashes a second; a mass crash stops a share of all workers at once."""
 
     calls: float = 28.0
     ends: float = 0.0
@@ -43,18 +43,18 @@
 @dataclass
 class _Worker:
     name: str
-    births: int = 0
-    away_until: float = 0.0
+    restarts: int = 0
+    unavailable_until: float = 0.0
     running: dict[int, tuple[_Call, float]] = field(default_factory=dict)
 
     @property
     def incarnation(self) -> str:
-        return f"{self.name} {self.births}"
+        return f"{self.name} {self.restarts}"
 
 
 @dataclass
 class Outcome:
-    """What became of the calls of a play."""
+    """Counts of one simulation: ``broken`` of interrupted calls, ``ends`` of worker crashes."""
 
     calls: int = 0
     broken: int = 0
@@ -62,8 +62,8 @@
     blamed: set[str] = field(default_factory=set)
 
 
-class QuarantinePlay:
-    """A play on a virtual clock, with one gateway that knows all at once."""
+class QuarantineSimulation:
+    """A simulation on a virtual clock, with one gateway that observes everything immediately."""
 
     def __init__(self, load: Load, seed: int) -> None:
         self._load = load
@@ -76,38 +76,38 @@
         self.outcome = Outcome()
 
     def run(self, seconds: float) -> Outcome:
-        """Play calls and ends for so many seconds."""
-        self._plan(seconds, self._load.calls, self._arrive)
-        self._plan(seconds, self._load.ends, self._end_one)
-        self._plan(seconds, self._load.mass_ends, self._end_many)
+        """Simulate arriving calls and crashes for a number of seconds, then finish all calls."""
+        self._schedule_events(seconds, self._load.calls, self._start_call)
+        self._schedule_events(seconds, self._load.ends, self._crash_one)
+        self._schedule_events(seconds, self._load.mass_ends, self._crash_many)
         while self._events:
             self.now, _, event = heapq.heappop(self._events)
             event()
         return self.outcome
 
-    def _at(self, when: float, event: Callable[[], None]) -> None:
+    def _schedule(self, when: float, event: Callable[[], None]) -> None:
         self._numbers += 1
         heapq.heappush(self._events, (when, self._numbers, event))
 
-    def _plan(self, seconds: float, rate: float, event: Callable[[], None]) -> None:
+    def _schedule_events(self, seconds: float, rate: float, event: Callable[[], None]) -> None:
         when = self._random.expovariate(rate) if rate else seconds
         while when < seconds:
-            self._at(when, event)
+            self._schedule(when, event)
             when += self._random.expovariate(rate)
 
-    def _arrive(self) -> None:
+    def _start_call(self) -> None:
         self.outcome.calls += 1
         self._send(_Call(f"request-{self.outcome.calls}"))
 
     def _send(self, call: _Call) -> None:
         if wait := self._quarantine.seconds_to_wait(call.request, self.now):
-            self._at(self.now + wait, lambda: self._send(call))
+            self._schedule(self.now + wait, lambda: self._send(call))
             return
         if self._quarantine.seconds_left(call.request, self.now) > 0.0:
             return
-        usable = [worker for worker in self._workers if worker.away_until <= self.now]
+        usable = [worker for worker in self._workers if worker.unavailable_until <= self.now]
         if not usable:
-            self._fail(call)
+            self._resend_later(call)
             return
         call.attempts += 1
         worker = self._random.choice(usable)
@@ -117,56 +117,56 @@
         worker.running[number] = (call, first_event)
         incarnation = worker.incarnation
         ends_at = first_event + self._random.uniform(*STREAM_SECONDS)
-        self._at(ends_at, lambda: self._finish(worker, incarnation, number))
+        self._schedule(ends_at, lambda: self._finish(worker, incarnation, number))
 
     def _finish(self, worker: _Worker, incarnation: str, number: int) -> None:
         if worker.incarnation == incarnation:
             call, _ = worker.running.pop(number)
             self._quarantine.note_sound(call.request, self.now)
 
-    def _end_one(self) -> None:
-        self._end(self._random.choice(self._workers))
+    def _crash_one(self) -> None:
+        self._crash(self._random.choice(self._workers))
 
-    def _end_many(self) -> None:
+    def _crash_many(self) -> None:
         count = max(1, round(self._load.mass_share * len(self._workers)))
         for worker in self._random.sample(self._workers, count):
-            self._end(worker)
+            self._crash(worker)
 
-    def _end(self, worker: _Worker) -> None:
-        if worker.away_until > self.now:
+    def _crash(self, worker: _Worker) -> None:
+        if worker.unavailable_until > self.now:
             return
         self.outcome.ends += 1
         broken, incarnation = worker.running, worker.incarnation
-        worker.running, worker.births = {}, worker.births + 1
-        worker.away_until = self.now + BACK_SECONDS
+        worker.running, worker.restarts = {}, worker.restarts + 1
+        worker.unavailable_until = self.now + RECOVERY_SECONDS
         for call, first_event in broken.values():
             self.outcome.broken += 1
             progressed = self.now - first_event > BEGINNING_SECONDS
             self._quarantine.note_end(call.request, incarnation, self.now, progressed=progressed)
-            self._at(self.now + LONGEST_SETTLE_SECONDS, self._check(call))
+            self._schedule(self.now + LONGEST_SETTLE_SECONDS, self._blame_check(call))
         for call, _ in broken.values():
-            self._go_on(call)
+            self._retry(call)
 
-    def _check(self, call: _Call) -> Callable[[], None]:
-        """Return a look at whether a broken call is blamed, once its end is judged."""
+    def _blame_check(self, call: _Call) -> Callable[[], None]:
+        """Return a check, run once the crash is decidable, of whether a failed call is blamed."""
 
-        def look() -> None:
+        def record_blame() -> None:
             state = self._quarantine.state(call.request, self.now)
             if state in (RequestState.QUARANTINED, RequestState.PROBATION):
                 self.outcome.blamed.add(call.request)
 
-        return look
+        return record_blame
 
-    def _go_on(self, call: _Call) -> None:
+    def _retry(self, call: _Call) -> None:
         if call.attempts < ATTEMPTS:
-            self._at(self.now + RETRY_SECONDS, lambda: self._send(call))
+            self._schedule(self.now + RETRY_SECONDS, lambda: self._send(call))
         else:
-            self._fail(call)
+            self._resend_later(call)
 
-    def _fail(self, call: _Call) -> None:
-        """Have the caller send the call again after a while."""
+    def _resend_later(self, call: _Call) -> None:
+        """Let the caller send the call again after a pause."""
         if call.sent < ATTEMPTS:
             call.sent += 1
             call.attempts = 0
-            pause = self._random.uniform(*RETURN_SECONDS)
-            self._at(self.now + pause, lambda: self._send(call))
+            pause = self._random.uniform(*RESEND_SECONDS)
+            self._schedule(self.now + pause, lambda: self._send(call))
--- a/tests/scheduling/test_clock_jumps.py
+++ b/tests/scheduling/test_clock_jumps.py
@@ -1,10 +1,10 @@
-"""What a gateway holds to be fresh has its true age in the first step after a suspension.
+"""A gateway computes the age of its information correctly in the first step after a suspension.
 
-A state machine steps the clock in small parts, as while the process runs, and jumps by up to two
-minutes, as after a suspension of the machine or a pause of the process. Between any two steps it
-hears members and the store, and workers end under a request. After each step it looks at what must
-not go stale unnoticed: how old the store's word is, whether the store is asked, who is alive, and
-until when a request is quarantined.
+A state machine advances the clock in small steps, as while the process runs, and in jumps of up to
+two minutes, as after a suspension of the machine or a pause of the process. Between steps it
+receives updates of members and of the store, and workers crash while running a request. After each
+step it checks information that must not become stale unnoticed: the time of the last contact with
+the store, whether the store is watched, which members are alive, and when a quarantine ends.
 """
 
 import pytest
@@ -30,17 +30,17 @@
 INTERVAL = 0.25
 BOUND_SECONDS = 2.0
 ROUNDING_SECONDS = 0.002
-"""Ages are told in whole milliseconds."""
+"""Ages are reported in whole milliseconds."""
 
 MEMBERS = tuple("abcdefgh")
-"""Enough that the gateway is none of those that follow the store while they live."""
+"""So many members that the gateway does not follow the store itself while they are alive."""
 
 REQUEST = "f" * 16
 LONG_AGO = float("-inf")
 
 
 class JumpingClock(RuleBasedStateMachine):
-    """A gateway and its members."""
+    """A gateway and its members on a clock that jumps."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,34 +51,34 @@
         self.election = StoreFollowerElection(self.fleet, BOUND_SECONDS)
         self.quarantine = RequestQuarantine()
         self.silence: dict[str, float] = {}
-        self.store_told_at = LONG_AGO
+        self.store_reported_at = LONG_AGO
         self.store_answered_at = LONG_AGO
         self.ends: dict[str, float] = {}
         self.known_at: dict[str, float] = {}
         for name in MEMBERS:
-            self.hear(name, 0.0)
+            self.receive_heartbeat(name, 0.0)
         assert not self.election.follows(self.now)
 
     @rule(seconds=st.floats(0.01, 0.24))
-    def run(self, seconds: float) -> None:
-        self._pass(seconds, counted=seconds)
+    def step_clock(self, seconds: float) -> None:
+        self._advance_clock(seconds, counted=seconds)
 
     @rule(seconds=st.floats(0.3, 120.0))
-    def jump(self, seconds: float) -> None:
-        self._pass(seconds, counted=PAUSE_SECONDS)
+    def jump_clock(self, seconds: float) -> None:
+        self._advance_clock(seconds, counted=PAUSE_SECONDS)
 
-    def _pass(self, seconds: float, counted: float) -> None:
+    def _advance_clock(self, seconds: float, counted: float) -> None:
         self.now += seconds
         for name, silent in self.silence.items():
             gone = silent > SUSPECT_HEARTBEATS * INTERVAL
             self.silence[name] = silent + (seconds if gone else counted)
 
     @rule(name=st.sampled_from(MEMBERS), age=st.floats(0.0, 30.0))
-    def hear_member(self, name: str, age: float) -> None:
-        self.hear(name, age)
+    def member_sends_heartbeat(self, name: str, age: float) -> None:
+        self.receive_heartbeat(name, age)
 
-    def hear(self, name: str, age: float) -> None:
-        """Hear a member that tells how long ago the store has answered it."""
+    def receive_heartbeat(self, name: str, age: float) -> None:
+        """Receive a heartbeat that reports how long ago the store answered the member."""
         answered_at = self.now - age
         contact = ReportedStoreContact(answered_at, age)
         heartbeat = Heartbeat(
@@ -93,48 +93,48 @@
         )
         self.fleet.hear(heartbeat, self.now)
         self.silence[name] = 0.0
-        self.store_told_at = max(self.store_told_at, answered_at)
+        self.store_reported_at = max(self.store_reported_at, answered_at)
 
     @rule()
-    def hear_the_store(self) -> None:
+    def store_answers(self) -> None:
         self.store_answered_at = self.now
 
     @rule(worker=st.integers(0, 5))
-    def end_here(self, worker: int) -> None:
-        self._end(f"w{worker}", self.now)
+    def worker_crashes_here(self, worker: int) -> None:
+        self._record_crash(f"w{worker}", self.now)
         self.quarantine.note_end(REQUEST, f"w{worker}", self.now)
 
     @rule(worker=st.integers(0, 5), age=st.floats(0.0, 60.0))
-    def end_elsewhere(self, worker: int, age: float) -> None:
-        self._end(f"w{worker}", self.now - age)
+    def worker_crashes_elsewhere(self, worker: int, age: float) -> None:
+        self._record_crash(f"w{worker}", self.now - age)
         item = RequestAtEnd(REQUEST)
         report = CrashReport.of(f"w{worker}", age, [item], incomplete=False)
         self.quarantine.take(report, self.now)
 
-    def _end(self, worker: str, at: float) -> None:
+    def _record_crash(self, worker: str, at: float) -> None:
         self.ends[worker] = min(at, self.ends.get(worker, at))
         self.known_at.setdefault(worker, self.now)
 
     @invariant()
-    def the_stores_word_is_as_old_as_it_is(self) -> None:
+    def store_contact_has_its_true_age(self) -> None:
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
-            assert self.fleet.confirmed_at(table) == pytest.approx(self.store_told_at)
-            confirmed = max(self.store_told_at, self.store_answered_at)
+            assert self.fleet.confirmed_at(table) == pytest.approx(self.store_reported_at)
+            confirmed = max(self.store_reported_at, self.store_answered_at)
             stale = BOUND_SECONDS * STALE_SHARE * LATER_STALE_FACTOR
             if self.now - confirmed > stale + ROUNDING_SECONDS:
                 assert self.election.watches(table, self.store_answered_at, self.now)
 
     @invariant()
-    def a_pause_of_this_machine_is_no_silence_of_others(self) -> None:
+    def a_local_pause_does_not_count_as_silence_of_others(self) -> None:
         patience = SUSPECT_HEARTBEATS * INTERVAL
-        # Two pauses that nobody looked between are one.
+        # Two pauses without a check in between count as one.
         self.fleet.live(self.now)
         for name, silent in self.silence.items():
             if abs(silent - patience) > ROUNDING_SECONDS:
                 assert self.fleet.suspected(name, self.now) is (silent > patience)
 
     @invariant()
-    def a_quarantine_ends_when_it_is_over(self) -> None:
+    def a_quarantine_ends_on_time(self) -> None:
         left = 0.0
         settled = [at for at in self.known_at.values() if at + SETTLE_SECONDS <= self.now]
         if len(settled) >= QUARANTINE_ENDS:
--- a/tests/scheduling/test_crash_play.py
+++ b/tests/scheduling/test_crash_play.py
@@ -1,11 +1,11 @@
-"""Requests that crash engines are stopped, and no ordinary one beside them is held: played."""
+"""Simulations: requests that crash engines are stopped, and no ordinary request is quarantined."""
 
 import pytest
-from crash_play import CrashLoad, CrashOutcome, CrashPlay
+from crash_play import CrashLoad, CrashOutcome, CrashSimulation
 
-PLAYS = 4
-MOST_LATE_ENDS = 3
-"""Ends that a request may cause once every gateway had the time to know of its third."""
+SIMULATIONS = 4
+MAX_LATE_CRASHES = 3
+"""Crashes that a request may cause after every gateway had time to know of its third crash."""
 
 LOADS = {
     "3 engines, 12 streams": CrashLoad(engines=3, streams=12),
@@ -24,19 +24,21 @@
 }
 
 
-def play(load: CrashLoad) -> list[CrashOutcome]:
-    outcomes = [CrashPlay(load, seed).run() for seed in range(PLAYS)]
-    assert sum(item.ordinary for item in outcomes) > 100 * PLAYS
-    assert max(item.most_late for item in outcomes) <= MOST_LATE_ENDS
+def simulate(load: CrashLoad) -> list[CrashOutcome]:
+    outcomes = [CrashSimulation(load, seed).run() for seed in range(SIMULATIONS)]
+    assert sum(item.ordinary for item in outcomes) > 100 * SIMULATIONS
+    assert max(item.max_late_crashes for item in outcomes) <= MAX_LATE_CRASHES
     return outcomes
 
 
 @pytest.mark.parametrize("load", LOADS.values(), ids=LOADS.keys())
-def test_no_ordinary_request_is_held_beside_one_that_crashes_engines(load: CrashLoad) -> None:
-    outcomes = play(load)
-    assert [item.held for item in outcomes] == [set()] * PLAYS
+def test_no_ordinary_request_is_quarantined_next_to_one_that_crashes_engines(
+    load: CrashLoad,
+) -> None:
+    outcomes = simulate(load)
+    assert [item.quarantined_ordinary for item in outcomes] == [set()] * SIMULATIONS
 
 
 @pytest.mark.parametrize("load", HARD_LOADS.values(), ids=HARD_LOADS.keys())
 def test_a_request_that_crashes_engines_is_stopped_within_its_bound(load: CrashLoad) -> None:
-    play(load)
+    simulate(load)
--- a/tests/scheduling/test_crash_verdicts.py
+++ b/tests/scheduling/test_crash_verdicts.py
@@ -1,6 +1,7 @@
-"""Verdicts on requests that were at the same workers: alike everywhere, in any order of news.
+"""Verdicts on requests that share workers agree at all gateways, in any order of reports.
 
-An ordinary stream that was moved three times beside a crashing request was held at all gateways.
+Guards against blaming a neighbour: an ordinary stream that was moved three times together with a
+crashing request was quarantined at all gateways.
 """
 
 import random
@@ -38,15 +39,15 @@
 
 
 def suspects(count: int, source: random.Random) -> list[tuple[str, str]]:
-    """Return other requests, each with a worker that ended under it."""
+    """Return other requests, each with a worker that crashed while running it."""
     return [(f"{number:016x}", f"other {source.randrange(20)}") for number in range(1, count + 1)]
 
 
-def held(quarantine: RequestQuarantine, request: str, now: float) -> bool:
+def is_quarantined(quarantine: RequestQuarantine, request: str, now: float) -> bool:
     return quarantine.state(request, now) is RequestState.QUARANTINED
 
 
-def noted() -> RequestQuarantine:
+def quarantine_with_shared_crashes() -> RequestQuarantine:
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
         quarantine.note_end(ORDINARY, worker_id, 0.0)
@@ -55,7 +56,7 @@
 
 
 @pytest.mark.parametrize("orders", list(product(permutations((CRASHING, ORDINARY)), repeat=3)))
-def test_the_request_whose_end_is_noted_first_is_not_blamed_for_it(
+def test_the_request_that_is_recorded_first_is_not_blamed_for_the_crash(
     orders: tuple[tuple[str, str], ...],
 ) -> None:
     quarantine = RequestQuarantine()
@@ -64,36 +65,36 @@
         for request in order:
             now += 0.001
             quarantine.note_end(request, worker_id, now)
-            assert not held(quarantine, ORDINARY, now)
+            assert not is_quarantined(quarantine, ORDINARY, now)
         now += 0.05
     for step in range(40):
-        assert not held(quarantine, ORDINARY, now + step * 0.1)
+        assert not is_quarantined(quarantine, ORDINARY, now + step * 0.1)
 
 
 @settings(max_examples=200, deadline=None)
 @given(count=st.integers(0, 60), seed=st.integers(0, 10_000), rounds=st.integers(1, 30))
-def test_a_gateway_that_starts_late_is_not_told_one_side_only(
+def test_a_gateway_that_starts_late_never_blames_on_partial_reports(
     count: int, seed: int, rounds: int
 ) -> None:
-    """The gateway that knew both requests ends after some heartbeats."""
+    """The gateway that knew both requests exits after some heartbeats."""
     source = random.Random(seed)
-    notes = suspects(count, source)
-    notes += [(request, worker) for worker in WORKERS for request in (CRASHING, ORDINARY)]
-    source.shuffle(notes)
+    crashes = suspects(count, source)
+    crashes += [(request, worker) for worker in WORKERS for request in (CRASHING, ORDINARY)]
+    source.shuffle(crashes)
     before, late = RequestQuarantine(), RequestQuarantine()
-    for request, worker_id in notes:
+    for request, worker_id in crashes:
         before.note_end(request, worker_id, 0.0)
     now = 6.0
     for _ in range(rounds):
         now += HEARTBEAT
         for report in before.reported(now, HEARTBEAT):
             late.take(report, now)
-        assert not held(late, ORDINARY, now)
-    assert not held(late, ORDINARY, now + LONGEST_SETTLE_SECONDS)
+        assert not is_quarantined(late, ORDINARY, now)
+    assert not is_quarantined(late, ORDINARY, now + LONGEST_SETTLE_SECONDS)
 
 
-def test_requests_at_the_same_ends_wait_for_the_verdict_and_go_one_after_the_other() -> None:
-    quarantine = noted()
+def test_requests_that_share_crashes_wait_for_the_verdict_and_are_sent_one_at_a_time() -> None:
+    quarantine = quarantine_with_shared_crashes()
     assert quarantine.seconds_to_wait(ORDINARY, 0.1) == pytest.approx(SETTLE_SECONDS - 0.1)
     assert quarantine.seconds_to_wait(ORDINARY, SETTLE_SECONDS) == 0.0
     later = SETTLE_SECONDS + TURN_SECONDS
@@ -101,7 +102,7 @@
     assert quarantine.seconds_to_wait(CRASHING, later) == 0.0
 
 
-def test_requests_take_turns_from_their_second_common_end_on() -> None:
+def test_requests_are_sent_one_at_a_time_from_their_second_shared_crash_on() -> None:
     quarantine = RequestQuarantine()
     for number, worker_id in enumerate(WORKERS[:TURN_ENDS]):
         assert quarantine.seconds_to_wait(CRASHING, float(number)) == 0.0
@@ -111,7 +112,7 @@
     assert quarantine.seconds_to_wait(CRASHING, 1.0) == TURN_SECONDS
 
 
-def test_no_request_waits_for_more_than_a_few_others() -> None:
+def test_a_request_waits_for_a_bounded_number_of_others() -> None:
     quarantine = RequestQuarantine()
     for number in range(50):
         for worker_id in WORKERS[:TURN_ENDS]:
@@ -120,8 +121,8 @@
     assert max(waits) == MOST_TURNS * TURN_SECONDS
 
 
-def test_late_requests_put_a_verdict_off_within_a_bound() -> None:
-    quarantine = noted()
+def test_late_requests_delay_a_verdict_within_a_bound() -> None:
+    quarantine = quarantine_with_shared_crashes()
     now = 0.0
     while now < 2 * LONGEST_SETTLE_SECONDS:
         now += SETTLE_SECONDS / 2
@@ -132,7 +133,7 @@
 
 
 def test_a_neighbour_with_more_ends_is_not_blamed_before_two_crashing_requests() -> None:
-    """The neighbour was at one worker of the first, then travelled with the second."""
+    """The neighbour shared one worker with the first, then all workers of the second."""
     second = "d" * 16
     quarantine = RequestQuarantine()
     for worker_id in ("one 1", "two 1", "three 1"):
@@ -146,8 +147,8 @@
     assert quarantine.quarantined(2 * SETTLE_SECONDS) == [CRASHING, second]
 
 
-def test_what_a_gateway_that_died_had_at_the_workers_is_not_held_against_the_others() -> None:
-    """It had told of two ends of the crashing request, and died at once after the third."""
+def test_unreported_requests_of_a_failed_gateway_do_not_lead_to_blame_of_others() -> None:
+    """It had reported two crashes of the crashing request, and died right after the third."""
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
         quarantine.note_end(ORDINARY, worker_id, 1.0)
@@ -160,15 +161,15 @@
     assert quarantine.quarantined(4.0 + SETTLE_SECONDS) == [CRASHING]
 
 
-def test_an_incomplete_end_is_told_as_such() -> None:
-    first, second = noted(), RequestQuarantine()
+def test_an_incomplete_record_is_reported_as_incomplete() -> None:
+    first, second = quarantine_with_shared_crashes(), RequestQuarantine()
     first.note_loss(last_heard_at=0.0, now=0.1)
     for report in first.reported(0.2, HEARTBEAT):
         second.take(report, 0.2)
     assert all(record.incomplete for record in second.records)
 
 
-def test_a_worker_with_more_requests_than_are_kept_leaves_an_incomplete_end() -> None:
+def test_a_worker_with_more_requests_than_a_record_holds_gets_an_incomplete_record() -> None:
     records = CrashRecords()
     for number in range(MOST_REQUESTS_AT_END + 1):
         item = RequestAtEnd(f"{number:016x}")
@@ -191,14 +192,15 @@
 
 
 @pytest.mark.parametrize("report", BAD_REPORTS.values(), ids=BAD_REPORTS.keys())
-def test_a_report_that_cannot_be_true_says_why(report: CrashReport) -> None:
+def test_an_invalid_report_states_its_problem(report: CrashReport) -> None:
     assert report.problem()
 
 
 class CrashMachine(RuleBasedStateMachine):
-    """Three gateways; workers end under requests of several gateways; news is lost, late, doubled.
+    """Three gateways with requests at the same workers; reports are lost, delayed and repeated.
 
-    The truth is who was at which worker. Gateways start again with nothing, and ask one other.
+    The reference is which request was at which worker. Gateways restart without state and read the
+    history of one other gateway.
     """
 
     def __init__(self) -> None:
@@ -207,7 +209,7 @@
         self.gateways = [RequestQuarantine() for _ in range(3)]
         self.ends = 0
         self.at: dict[str, set[str]] = {}
-        self.on_the_way: list[CrashReport] = []
+        self.reports_in_transit: list[CrashReport] = []
 
     @rule(
         requests=st.dictionaries(
@@ -216,7 +218,7 @@
             max_size=4,
         )
     )
-    def worker_ends(self, requests: dict[int, tuple[int, bool]]) -> None:
+    def worker_crashes(self, requests: dict[int, tuple[int, bool]]) -> None:
         self.ends += 1
         worker_id = f"w{self.ends}"
         for number, (gateway, progressed) in requests.items():
@@ -225,28 +227,28 @@
             self.gateways[gateway].note_end(request, worker_id, self.now, progressed=progressed)
 
     @rule(gateway=st.integers(0, 2), request=st.integers(0, 4))
-    def request_ends_well(self, gateway: int, request: int) -> None:
+    def request_completes(self, gateway: int, request: int) -> None:
         self.gateways[gateway].note_sound(f"{request:016x}", self.now)
 
     @rule(gateway=st.integers(0, 2))
-    def beat(self, gateway: int) -> None:
-        self.on_the_way.extend(self.gateways[gateway].reported(self.now, HEARTBEAT))
+    def send_heartbeat(self, gateway: int) -> None:
+        self.reports_in_transit.extend(self.gateways[gateway].reported(self.now, HEARTBEAT))
 
     @rule(gateway=st.integers(0, 2), data=st.data())
-    def report_comes(self, gateway: int, data: st.DataObject) -> None:
-        if self.on_the_way:
-            told = data.draw(st.sampled_from(self.on_the_way))
-            self.gateways[gateway].take(told, self.now)
+    def report_arrives(self, gateway: int, data: st.DataObject) -> None:
+        if self.reports_in_transit:
+            crash_report = data.draw(st.sampled_from(self.reports_in_transit))
+            self.gateways[gateway].take(crash_report, self.now)
 
     @rule(gateway=st.integers(0, 2), other=st.integers(0, 2))
     def restart(self, gateway: int, other: int) -> None:
         history = self.gateways[other].all_reports(self.now)
         self.gateways[gateway] = RequestQuarantine()
-        for told in history if gateway != other else ():
-            self.gateways[gateway].take(told, self.now)
+        for crash_report in history if gateway != other else ():
+            self.gateways[gateway].take(crash_report, self.now)
 
     @rule(gateway=st.integers(0, 2), silent=st.floats(0.0, 2.0))
-    def member_is_lost(self, gateway: int, silent: float) -> None:
+    def member_fails(self, gateway: int, silent: float) -> None:
         self.gateways[gateway].note_loss(self.now - silent, self.now)
 
     @rule(seconds=st.floats(0.01, 1.5))
@@ -254,30 +256,30 @@
         self.now += seconds
 
     @rule()
-    def exchange(self) -> None:
-        """Once all have heard all of each other and it is settled, all judge alike."""
+    def exchange_all_reports(self) -> None:
+        """All verdicts agree once all reports were exchanged and all records are decidable."""
         for source in self.gateways:
-            for told in source.all_reports(self.now):
+            for crash_report in source.all_reports(self.now):
                 for target in self.gateways:
-                    target.take(told, self.now)
+                    target.take(crash_report, self.now)
         settled = self.now + LONGEST_SETTLE_SECONDS
         first, *others = (gateway.quarantined(settled) for gateway in self.gateways)
         assert all(other == first for other in others)
 
     @invariant()
-    def the_verdict_does_not_hang_on_the_order_of_records(self) -> None:
+    def verdicts_do_not_depend_on_the_order_of_records(self) -> None:
         for gateway in self.gateways:
             records = list(gateway.records)
             assert judge(records) == judge(reversed(records))
 
     @invariant()
-    def nobody_was_where_he_was_not(self) -> None:
+    def records_name_only_requests_that_were_at_the_worker(self) -> None:
         for gateway in self.gateways:
             for record in gateway.records:
                 assert set(record.requests) <= self.at[record.worker_id]
 
     @invariant()
-    def who_is_blamed_stood_at_three_ends_at_least(self) -> None:
+    def a_blamed_request_was_at_three_crashes_at_least(self) -> None:
         for gateway in self.gateways:
             for request in gateway.quarantined(self.now):
                 ends = [worker for worker, there in self.at.items() if request in there]
--- a/tests/scheduling/test_quarantine_machine.py
+++ b/tests/scheduling/test_quarantine_machine.py
@@ -1,4 +1,4 @@
-"""One request at three gateways: evidence told in any order is counted once and agrees."""
+"""One request at three gateways: evidence is counted once and agrees in any order of reports."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -18,34 +18,34 @@
 
 
 class QuarantineMachine(RuleBasedStateMachine):
-    """Three gateways, reports lost, late, doubled and in any order, restarts, cuts.
+    """Three gateways; reports are lost, delayed, repeated and reordered, and gateways restart.
 
-    The truth is the set of workers that ended under the request. Good ends are left out here: what
-    they clear depends on what was known where they were seen.
+    The reference is the set of workers that crashed while running the request. Successful runs are
+    left out: what they clear depends on what was known at the gateway that observed them.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.gateways = [RequestQuarantine() for _ in range(3)]
-        self.ended: set[str] = set()
-        self.on_the_way: list[CrashReport] = []
+        self.crashed_workers: set[str] = set()
+        self.reports_in_transit: list[CrashReport] = []
 
     @rule(gateway=st.integers(0, 2), worker=st.integers(0, 5))
-    def worker_ends(self, gateway: int, worker: int) -> None:
+    def worker_crashes(self, gateway: int, worker: int) -> None:
         name = f"w{worker}"
-        self.ended.add(name)
+        self.crashed_workers.add(name)
         self.gateways[gateway].note_end(REQUEST, name, self.now)
 
     @rule(gateway=st.integers(0, 2))
-    def beat(self, gateway: int) -> None:
-        self.on_the_way.extend(self.gateways[gateway].reported(self.now, HEARTBEAT))
+    def send_heartbeat(self, gateway: int) -> None:
+        self.reports_in_transit.extend(self.gateways[gateway].reported(self.now, HEARTBEAT))
 
     @rule(gateway=st.integers(0, 2), data=st.data())
-    def report_comes(self, gateway: int, data: st.DataObject) -> None:
-        if self.on_the_way:
-            told = data.draw(st.sampled_from(self.on_the_way))
-            self.gateways[gateway].take(told, self.now)
+    def report_arrives(self, gateway: int, data: st.DataObject) -> None:
+        if self.reports_in_transit:
+            crash_report = data.draw(st.sampled_from(self.reports_in_transit))
+            self.gateways[gateway].take(crash_report, self.now)
 
     @rule(gateway=st.integers(0, 2))
     def restart(self, gateway: int) -> None:
@@ -56,32 +56,32 @@
         self.now += seconds
 
     @rule()
-    def exchange(self) -> None:
-        """Once every gateway has heard every other again, all hold the same."""
+    def exchange_all_reports(self) -> None:
+        """All gateways agree once each has received the reports of all others again."""
         for _ in range(2):
             self.now += SUSPECT_SECONDS
             for source in self.gateways:
                 reports = source.reported(self.now, HEARTBEAT)
                 for target in self.gateways:
-                    for told in reports:
-                        target.take(told, self.now)
+                    for crash_report in reports:
+                        target.take(crash_report, self.now)
         settled = self.now + LONGEST_SETTLE_SECONDS
         states = {gateway.state(REQUEST, settled) for gateway in self.gateways}
         assert len(states) == 1
 
     @invariant()
-    def only_enough_ends_convict(self) -> None:
-        if len(self.ended) < QUARANTINE_ENDS:
+    def too_few_crashes_do_not_quarantine(self) -> None:
+        if len(self.crashed_workers) < QUARANTINE_ENDS:
             assert all(gateway.seconds_left(REQUEST, self.now) == 0.0 for gateway in self.gateways)
 
     @invariant()
-    def nobody_counts_an_end_that_was_none(self) -> None:
+    def only_workers_that_crashed_are_counted(self) -> None:
         for gateway in self.gateways:
             known = {record.worker_id for record in gateway.records.of_request(REQUEST)}
-            assert known <= self.ended
+            assert known <= self.crashed_workers
 
     @invariant()
-    def no_quarantine_outlasts_the_bound(self) -> None:
+    def no_quarantine_exceeds_the_maximum(self) -> None:
         for gateway in self.gateways:
             assert gateway.seconds_left(REQUEST, self.now) <= LONGEST_QUARANTINE_SECONDS
 
--- a/tests/scheduling/test_request_quarantine.py
+++ b/tests/scheduling/test_request_quarantine.py
@@ -1,6 +1,7 @@
-"""Evidence about requests that crash workers: told in any order, counted once, never held for ever.
+"""Evidence on requests that crash workers: order-independent, counted once, kept for limited time.
 
-Users lost eighteen workers to one request, since each gateway and each call judged it alone.
+Guards against a request that crashes worker after worker: users lost eighteen workers to one
+request, since each gateway and each call evaluated it in isolation.
 """
 
 from itertools import permutations
@@ -40,27 +41,27 @@
 LATENCY = 0.001
 
 
-def tell(source: RequestQuarantine, target: RequestQuarantine, now: float) -> None:
-    for report in source.reported(now, HEARTBEAT):
-        target.take(report, now + LATENCY)
+def deliver_reports(source: RequestQuarantine, target: RequestQuarantine, now: float) -> None:
+    for crash_report in source.reported(now, HEARTBEAT):
+        target.take(crash_report, now + LATENCY)
     for trial in source.reported_trials(now, HEARTBEAT):
         target.take_trial(trial, now + LATENCY)
 
 
-def report(worker_id: str, age: float, *requests: str) -> CrashReport:
+def crash_report(worker_id: str, age: float, *requests: str) -> CrashReport:
     items = [RequestAtEnd(request) for request in requests]
     return CrashReport.of(worker_id, age, items, incomplete=False)
 
 
-def convicted(now: float = -SETTLE_SECONDS) -> RequestQuarantine:
-    """Return a quarantine whose three ends, at a time, are settled at the time 0."""
+def quarantine_with_three_crashes(now: float = -SETTLE_SECONDS) -> RequestQuarantine:
+    """Return a quarantine with three crashes at a time; by default they are decidable at time 0."""
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
         quarantine.note_end(REQUEST, worker_id, now)
     return quarantine
 
 
-def test_fewer_ends_than_convict_a_request_leave_it_free() -> None:
+def test_too_few_crashes_do_not_quarantine_a_request() -> None:
     quarantine = RequestQuarantine()
     for worker_id in WORKERS[: QUARANTINE_ENDS - 1]:
         quarantine.note_end(REQUEST, worker_id, 0.0)
@@ -70,12 +71,12 @@
         assert quarantine.seconds_to_wait(REQUEST, now) == 0.0
 
 
-def test_the_convicting_end_shuts_it_out_for_a_while() -> None:
-    quarantine = convicted(now=0.0)
+def test_the_last_required_crash_starts_the_quarantine() -> None:
+    quarantine = quarantine_with_three_crashes(now=0.0)
     assert quarantine.seconds_left(REQUEST, 2.0) == QUARANTINE_SECONDS - 2.0
 
 
-def test_one_worker_counts_once_however_many_calls_it_broke() -> None:
+def test_one_worker_counts_once_regardless_of_the_calls_it_interrupted() -> None:
     quarantine = RequestQuarantine()
     assert [quarantine.note_end(REQUEST, "one 1", at) for at in (0.0, 0.1)] == [True, False]
     assert quarantine.state(REQUEST, 0.2) is RequestState.SUSPECTED
@@ -83,25 +84,25 @@
 
 
 @pytest.mark.parametrize("order", list(permutations(range(3))))
-def test_ends_seen_by_three_gateways_at_once_add_up_everywhere(order: tuple[int, ...]) -> None:
+def test_crashes_seen_by_three_gateways_add_up_at_every_gateway(order: tuple[int, ...]) -> None:
     gateways = [RequestQuarantine() for _ in range(4)]
     for gateway, worker_id in zip(gateways, WORKERS, strict=False):
         gateway.note_end(REQUEST, worker_id, 0.0)
     for _ in range(2):
         for source in order:
             for target in gateways:
-                tell(gateways[source], target, 0.1)
+                deliver_reports(gateways[source], target, 0.1)
     assert all(gateway.seconds_to_wait(REQUEST, 0.2) > 0.0 for gateway in gateways)
     settled = 0.2 + SETTLE_SECONDS
     assert all(gateway.seconds_left(REQUEST, settled) > 0.0 for gateway in gateways)
 
 
-def test_a_good_end_clears_it_also_where_old_reports_come_late() -> None:
-    first, second = convicted(), RequestQuarantine()
+def test_a_successful_run_clears_a_request_despite_late_old_reports() -> None:
+    first, second = quarantine_with_three_crashes(), RequestQuarantine()
     old = first.reported(0.1, HEARTBEAT)
     assert len(old) == len(WORKERS)
     assert first.note_sound(REQUEST, 0.2)
-    tell(first, second, 0.3)
+    deliver_reports(first, second, 0.3)
     for gateway in (first, second):
         for item in old:
             gateway.take(item, 0.4)
@@ -109,38 +110,38 @@
             assert gateway.state(REQUEST, now) is RequestState.SOUND
 
 
-def test_passing_reports_to_and_fro_moves_no_time() -> None:
-    first, second = convicted(now=0.0), RequestQuarantine()
+def test_relaying_reports_back_and_forth_shifts_no_time() -> None:
+    first, second = quarantine_with_three_crashes(now=0.0), RequestQuarantine()
     now = 0.0
     for _ in range(1000):
-        tell(first, second, now)
-        tell(second, first, now + LATENCY)
+        deliver_reports(first, second, now)
+        deliver_reports(second, first, now + LATENCY)
         now += 2 * LATENCY
     assert first.seconds_left(REQUEST, now) == pytest.approx(QUARANTINE_SECONDS - now, abs=1e-6)
     assert second.seconds_left(REQUEST, now) == pytest.approx(QUARANTINE_SECONDS - now, abs=0.01)
 
 
-def test_on_probation_one_gateway_tries_it_at_a_time() -> None:
-    first, second = convicted(), RequestQuarantine()
-    tell(first, second, 0.1)
+def test_on_probation_one_gateway_sends_the_request_at_a_time() -> None:
+    first, second = quarantine_with_three_crashes(), RequestQuarantine()
+    deliver_reports(first, second, 0.1)
     now = QUARANTINE_SECONDS + 1.0
     assert first.state(REQUEST, now) is second.state(REQUEST, now) is RequestState.PROBATION
     assert first.seconds_left(REQUEST, now) == second.seconds_left(REQUEST, now) == 0.0
     assert first.note_sent(REQUEST, now)
-    tell(first, second, now)
+    deliver_reports(first, second, now)
     assert second.seconds_left(REQUEST, now + 0.1) == pytest.approx(TRIAL_SECONDS - 0.1, abs=0.01)
     assert second.seconds_left(REQUEST, now + TRIAL_SECONDS + 0.1) == 0.0
 
 
-def test_a_failed_trial_shuts_it_out_for_twice_as_long() -> None:
-    quarantine = convicted()
+def test_a_failed_trial_doubles_the_quarantine() -> None:
+    quarantine = quarantine_with_three_crashes()
     now = QUARANTINE_SECONDS + 1.0
     quarantine.note_sent(REQUEST, now)
     quarantine.note_end(REQUEST, "one 2", now + 0.1)
     assert quarantine.seconds_left(REQUEST, now + 0.1) == pytest.approx(2 * QUARANTINE_SECONDS)
 
 
-def test_nothing_is_shut_out_for_longer_than_the_bound() -> None:
+def test_no_quarantine_exceeds_the_maximum() -> None:
     quarantine = RequestQuarantine()
     for number in range(100):
         quarantine.note_end(REQUEST, f"worker {number}", 0.0)
@@ -148,52 +149,55 @@
     assert left == LONGEST_QUARANTINE_SECONDS - SETTLE_SECONDS
 
 
-def test_ends_that_convict_nothing_are_forgotten() -> None:
+def test_crashes_without_a_quarantine_are_removed_after_a_while() -> None:
     quarantine = RequestQuarantine()
     quarantine.note_end(REQUEST, WORKERS[0], 0.0)
     quarantine.reported(EVIDENCE_SECONDS + 1.0, HEARTBEAT)
     assert quarantine.empty
 
 
-def test_a_gateway_that_starts_late_hears_of_every_quarantine() -> None:
+def test_a_gateway_that_starts_late_receives_every_quarantine() -> None:
     first, late = RequestQuarantine(), RequestQuarantine()
     requests = [f"{number:016x}" for number in range(5 * MOST_TOLD)]
     for request in requests:
         for worker_id in WORKERS:
             first.note_end(request, f"{worker_id} under {request}", 0.0)
     for beat in range(40):
-        tell(first, late, 10.0 + beat * HEARTBEAT)
+        deliver_reports(first, late, 10.0 + beat * HEARTBEAT)
     assert all(late.seconds_left(request, 20.0) > 0.0 for request in requests)
 
 
-def test_thousands_of_crashing_requests_fill_neither_memory_nor_heartbeats() -> None:
-    quarantine = convicted()
+def test_thousands_of_crashing_requests_exceed_neither_memory_nor_heartbeat_bounds() -> None:
+    quarantine = quarantine_with_three_crashes()
     for number in range(5000):
         quarantine.note_end(f"{number:016x}", f"i-{number:08x} 1764000000000", 1.0 + number / 1000)
     assert len(quarantine.records) == MOST_RECORDS
     assert len(quarantine.records.requests()) <= MOST_RECORDS
     assert quarantine.state(REQUEST, 6.0) is RequestState.QUARANTINED
-    told = quarantine.reported(6.0, HEARTBEAT)
-    assert len(told) == MOST_TOLD
+    sent_reports = quarantine.reported(6.0, HEARTBEAT)
+    assert len(sent_reports) == MOST_TOLD
     plain = Heartbeat("n", 1, "z", "10.0.0.1:1", 1, 0.25)
-    longer = msgspec.structs.replace(plain, crashes=told)
+    longer = msgspec.structs.replace(plain, crashes=sent_reports)
     assert len(encode_heartbeat(longer)) - len(encode_heartbeat(plain)) < 400
 
 
-def test_a_heartbeat_that_tells_of_no_request_has_no_byte_for_them() -> None:
-    """One byte more moved every heartbeat of a played load: credit 0.978 to 0.984 by its length."""
+def test_a_heartbeat_without_crash_reports_spends_no_byte_on_them() -> None:
+    """Guards heartbeat sizes of loads without crashes.
+
+    One more byte in each heartbeat of a simulated load changed its credit from 0.978 to 0.984.
+    """
     plain = Heartbeat("n", 1, "z", "10.0.0.1:1", 1, 0.25)
     fields = msgspec.structs.astuple(plain)
     assert fields[-1] == ()
     assert encode_heartbeat(plain) == encode_heartbeat(msgspec.structs.replace(plain, crashes=()))
-    told = msgspec.structs.replace(plain, crashes=(report("one 1", 0.0, REQUEST),))
-    assert len(encode_heartbeat(plain)) < len(encode_heartbeat(told))
+    with_crash = msgspec.structs.replace(plain, crashes=(crash_report("one 1", 0.0, REQUEST),))
+    assert len(encode_heartbeat(plain)) < len(encode_heartbeat(with_crash))
 
 
-def test_a_neighbour_of_the_request_at_fault_is_not_taken_for_it() -> None:
-    """A stream that was moved from engine to engine just before the same request crashed each.
+def test_a_neighbour_of_a_crashing_request_is_not_blamed() -> None:
+    """Guards a stream that was moved to each engine shortly before a request crashed that engine.
 
-    A soak of four gateways shut it out, since the workers were the same.
+    A soak run with four gateways quarantined the stream, since both were at the same workers.
     """
     quarantine = RequestQuarantine()
     for number, worker_id in enumerate(WORKERS):
@@ -204,23 +208,23 @@
     assert quarantine.state(NEIGHBOUR, settled) is RequestState.SUSPECTED
 
 
-def test_neighbours_are_freed_once_more_is_known() -> None:
-    """The neighbour's gateway knows its ends first; what the others saw comes later."""
+def test_neighbours_are_released_once_more_evidence_arrives() -> None:
+    """The crashes of the neighbour are known first; reports of other gateways arrive later."""
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
         quarantine.note_end(NEIGHBOUR, worker_id, 0.0)
     now = SETTLE_SECONDS
     assert quarantine.quarantined(now) == [NEIGHBOUR]
     for worker_id in [*WORKERS, "four 1"]:
-        quarantine.take(report(worker_id, now, REQUEST), now)
+        quarantine.take(crash_report(worker_id, now, REQUEST), now)
     assert quarantine.quarantined(now) == []
     assert quarantine.quarantined(now + SETTLE_SECONDS) == [REQUEST]
 
 
-def test_of_two_that_explain_the_same_ends_the_next_end_tells() -> None:
-    """A call was moved beside the request at fault three times, and began as it did.
+def test_the_next_crash_decides_between_two_requests_that_explain_the_same_crashes() -> None:
+    """Guards a call that was moved with the crashing request three times and began when it did.
 
-    By its fingerprint it came first and was shut out in two soaks; the request at fault was not.
+    Its fingerprint sorted first, so two soak runs quarantined it instead of the crashing request.
     """
     for neighbour in ("0" * 16, "f" * 16):
         quarantine = RequestQuarantine()
@@ -234,10 +238,12 @@
 
 
 @given(st.lists(st.sets(st.integers(0, 5), max_size=5), min_size=1, max_size=5))
-def test_requests_that_share_no_worker_need_no_comparison(ended: list[set[int]]) -> None:
-    """Only requests at one worker are compared; the verdict is that of comparing each with all."""
+def test_requests_that_share_no_worker_need_no_comparison_with_each_other(
+    crashed_workers: list[set[int]],
+) -> None:
+    """Comparing only requests that share a worker gives the verdict of comparing all pairs."""
     records = CrashRecords()
-    ends = {f"{number:016x}": workers for number, workers in enumerate(ended)}
+    ends = {f"{number:016x}": workers for number, workers in enumerate(crashed_workers)}
     for request, workers in ends.items():
         for worker in workers:
             item = RequestAtEnd(request)
@@ -256,7 +262,7 @@
         assert request in blamed or ends[request] <= others
 
 
-def test_runs_that_had_gone_on_convict_only_in_greater_number() -> None:
+def test_progressed_runs_need_more_crashes_for_a_quarantine() -> None:
     quarantine = RequestQuarantine()
     states = []
     for number in range(CERTAIN_ENDS):
@@ -265,8 +271,8 @@
     assert states == [RequestState.SUSPECTED] * 4 + [RequestState.QUARANTINED]
 
 
-def test_two_requests_at_fault_are_both_known_in_time() -> None:
-    """Both begin at the same three workers; whichever is not blamed is sent on."""
+def test_two_crashing_requests_are_both_blamed_in_time() -> None:
+    """Both begin at the same three workers; the one that is not blamed is sent again."""
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
         quarantine.note_end(REQUEST, worker_id, 0.0)
@@ -280,7 +286,7 @@
     assert max(ends) <= CERTAIN_ENDS
 
 
-def test_gateways_that_were_cut_off_from_each_other_add_up_what_each_saw() -> None:
+def test_partitioned_gateways_merge_their_evidence_afterwards() -> None:
     gateways = [RequestQuarantine() for _ in range(3)]
     for gateway, worker_id in zip(gateways, WORKERS, strict=True):
         gateway.note_end(REQUEST, worker_id, 0.0)
@@ -290,15 +296,15 @@
         for source in gateways:
             reports = source.reported(now, HEARTBEAT)
             for target in gateways:
-                for told in reports:
-                    target.take(told, now)
+                for item in reports:
+                    target.take(item, now)
     now += SETTLE_SECONDS
     assert all(gateway.seconds_left(REQUEST, now) > 0.0 for gateway in gateways)
 
 
-def test_an_end_told_with_its_age_is_as_old_everywhere() -> None:
+def test_a_crash_reported_with_its_age_has_that_age_at_the_receiver() -> None:
     quarantine = RequestQuarantine()
     for worker_id in WORKERS:
-        quarantine.take(report(worker_id, 20.0, REQUEST), 100.0)
+        quarantine.take(crash_report(worker_id, 20.0, REQUEST), 100.0)
     left = quarantine.seconds_left(REQUEST, 100.0 + SETTLE_SECONDS)
     assert left == pytest.approx(QUARANTINE_SECONDS - 20.0 - SETTLE_SECONDS)
