--- a/src/corkcrank/scheduling/fleet_retry_budget.py
+++ b/src/corkcrank/scheduling/fleet_retry_budget.py
@@ -1,19 +1,20 @@
-"""Retry budget for all gateways together: each takes its share by the live members.
+"""Limits the retries that all gateways together send to one service.
 
 In any window the fleet may send ``ratio`` x the first attempts + ``allowance`` repeats to
-a service. A gateway that does not know its peers yet assumes the smallest share.
+a service. Each gateway uses a share of ``allowance`` that depends on the number of live members. A
+gateway that does not know its peers yet assumes the smallest share.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
 SAFETY = 0.7
-"""Part of the bound that is used, since members are counted late and windows slide."""
+"""Part of the budget that is used: the member count lags behind, and the windows slide."""
 
 
 @dataclass(slots=True)
 class FleetRetryBudget:
-    """Repeats that one gateway may still send to one service."""
+    """Retry budget of one gateway for one service; ``window`` is in seconds."""
 
     ratio: float
     allowance: float
@@ -22,17 +23,17 @@
     _repeats: deque[float] = field(default_factory=deque)
 
     def record_first(self, now: float) -> None:
-        """Count a first attempt."""
+        """Record a first attempt."""
         self._trim(now)
         self._firsts.append(now)
 
     def record_repeat(self, now: float) -> None:
-        """Count a repeat that had to be sent."""
+        """Record a repeat that was sent without a check of the budget."""
         self._trim(now)
         self._repeats.append(now)
 
     def remaining(self, now: float, members: int) -> float:
-        """Return the repeats that are left in the window that ends now.
+        """Return the repeats that are left in the window that ends at ``now``.
 
         >>> budget = FleetRetryBudget(ratio=0.2, allowance=10.0, window=10.0)
         >>> round(budget.remaining(0.0, members=5), 6)
@@ -43,7 +44,7 @@
         return SAFETY * earned - len(self._repeats)
 
     def try_spend(self, now: float, members: int) -> bool:
-        """Spend one repeat if the share allows it."""
+        """Spend one repeat if the budget allows it; return whether it did."""
         if self.remaining(now, members) < 1.0:
             return False
         self._repeats.append(now)
--- a/src/corkcrank/scheduling/worker_choice.py
+++ b/src/corkcrank/scheduling/worker_choice.py
@@ -1,4 +1,8 @@
-"""Choice of a plain worker: own calls, peers' calls, outcomes, zone."""
+"""Chooses a worker for a call of a plain service, one without engines or stages.
+
+The worker with the lowest pressure is chosen: calls in flight of this gateway and of its peers per
+slot, with penalties for failures, verdicts, other zones and rate limits.
+"""
 
 import random
 from collections.abc import Collection, Iterable
@@ -11,37 +15,38 @@
 """Time for which a failed call counts against a worker."""
 
 FAILURE_PENALTY = 1.0
-"""Pressure that each remembered failure adds."""
+"""Pressure that each recent failure adds."""
 
 EJECTED_PENALTY = 4.0
-"""Pressure that an ejection adds: an ejected worker is taken once each of the others has four
-calls a slot more than it."""
+"""Pressure that an ejection adds: an ejected worker is chosen once each of the other workers has
+four calls a slot more than it."""
 
 EXCESS_PENALTY = 4.0
-"""Pressure of a worker that is expected to fail all of its calls while the others fail none. With
-more, an excess by chance herds calls on workers of few slots."""
+"""Pressure of a worker that is expected to fail all of its calls while the others fail none. A
+higher value lets a random excess concentrate calls on workers with few slots."""
 
 ENDED_SECONDS = 5.0
-"""Time for which an incarnation that has ended is out of use. Its entry goes after three of the
-worker's heartbeats, 3.6 s; what is listed still was seen wrongly, and is tried again."""
+"""Time for which an incarnation that has ended gets no calls. Its entry is removed after three
+missed heartbeats of the worker, 3.6 s. If it is still listed after this time, the end was detected
+by mistake and the incarnation is tried again."""
 
 HALF_OPEN_CALLS = 2
-"""Calls in flight, of all gateways, up to which a half-open worker is given a probe."""
+"""Limit of calls in flight of all gateways together at a half-open worker that is probed."""
 
 LIMITED_PENALTY = 1.0
-"""Pressure that a worker's rate limit adds: it looks idle because little is sent to it."""
+"""Pressure that a rate limit adds: a limited worker looks idle because few calls are sent to it."""
 
 REMOTE_PENALTY = 0.25
-"""Pressure that another zone adds."""
+"""Pressure that a worker in another zone has in addition."""
 
 
 @dataclass(slots=True)
 class WorkerStatistics:
-    """What this gateway knows of one worker by its own calls and its peers' heartbeats.
+    """Statistics of one worker, from local calls and from the heartbeats of peers.
 
     ``reading`` counts prompt tokens of calls that have no first event yet. ``verdict`` and
-    ``excess`` are what :mod:`outlier_detection` last found of the worker's failures.
-    ``ended_until`` is until when the incarnation is known to have ended.
+    ``excess`` are the last results of :mod:`outlier_detection` for the worker. The incarnation
+    counts as ended until ``ended_until``.
     """
 
     in_flight: int = 0
@@ -57,24 +62,24 @@
     excess: float = 0.0
 
     def recent_failures(self, now: float) -> int:
-        """Return the failures that still count."""
+        """Return the number of failures that still count."""
         if not self.failures:
             return 0
         self.failures = [at for at in self.failures if at > now - FAILURE_MEMORY_SECONDS]
         return len(self.failures)
 
     def note_ended(self, at: float) -> None:
-        """Take that this incarnation had ended at a time: it is out of use until its entry goes."""
+        """Record when this incarnation ended; it gets no calls until its entry is removed."""
         self.ended_until = max(self.ended_until, at + ENDED_SECONDS)
 
     def out_of_use(self, now: float) -> bool:
-        """Return whether no call goes here: the worker is leaving, or has ended."""
+        """Return whether the worker gets no calls because it is leaving or has ended."""
         return self.leaving or self.ended_until > now
 
     def set_aside(self, *, repeatable: bool) -> bool:
-        """Return whether a call goes here only if nothing else is free.
+        """Return whether the worker gets a call only if no other worker is free.
 
-        A call that may run once only is never the probe of a half-open worker.
+        A call that must not run twice is never used to probe a half-open worker.
         """
         if self.verdict is Verdict.SOUND:
             return False
@@ -84,20 +89,20 @@
 
 
 class WorkerStatisticsTable:
-    """The statistics of every worker that this gateway has called or heard of."""
+    """Statistics of every worker that this gateway has called or received a report on."""
 
     def __init__(self) -> None:
         self._statistics: dict[str, WorkerStatistics] = {}
 
     def of(self, worker_id: str) -> WorkerStatistics:
-        """Return the statistics of a worker, new if needed."""
+        """Return the statistics of a worker; create them if there are none."""
         statistics = self._statistics.get(worker_id)
         if statistics is None:
             statistics = self._statistics[worker_id] = WorkerStatistics()
         return statistics
 
     def forget_all_but(self, worker_ids: Collection[str]) -> None:
-        """Drop workers that are no longer listed and have no call in flight."""
+        """Remove all workers but these and those with a local call in flight."""
         for worker_id in list(self._statistics):
             if worker_id not in worker_ids and not self._statistics[worker_id].in_flight:
                 del self._statistics[worker_id]
@@ -118,10 +123,10 @@
     repeatable: bool = False,
     limited: Collection[str] = (),
 ) -> WorkerRecord | None:
-    """Return the least pressed worker not yet tried, or ``None``.
+    """Return the worker with the lowest pressure that is not excluded, or ``None``.
 
     Pressure is calls per slot, with penalties for recent failures, for an ejection, for another
-    zone and for a rate limit. A ``repeatable`` call may be a probe.
+    zone and for a rate limit. A ``repeatable`` call may probe a half-open worker.
     """
     ranked = rank_workers(
         candidates,
@@ -147,7 +152,7 @@
     repeatable: bool = False,
     limited: Collection[str] = (),
 ) -> list[WorkerRecord]:
-    """Return the workers not yet tried, the least pressed first, as :func:`choose_worker` does."""
+    """Return the workers that are not excluded, sorted as :func:`choose_worker` prefers them."""
     keyed = []
     for record in candidates:
         statistics = worker_statistics.of(record.worker_id)
--- a/tests/scheduling/limit_play.py
+++ b/tests/scheduling/limit_play.py
@@ -1,9 +1,9 @@
-"""Ways to keep a worker's rate limit by many gateways together, played in virtual time.
+"""Simulates strategies by which many gateways together keep a worker's rate limit.
 
-Callers come to gateways at random, and each call prefers the limited worker. What a way does not
-let through goes elsewhere. The worker names its limit in its answers, so a gateway hears of it by a
-call of its own or by news. The owner may be lost for a while; the next one begins without what was
-granted.
+Calls arrive at random gateways in virtual time, and each call prefers the limited worker. Calls
+that a strategy does not admit go to other workers. The worker states its limit in its answers, so a
+gateway receives it by a call of its own or by a report. The owner may be unreachable for a while;
+its successor does not know the earlier grants.
 """
 
 import random
@@ -16,92 +16,93 @@
 from corkcrank.scheduling.stated_limits import StatedLimits
 
 WORKER = "w"
-WINDOW_SECONDS = 4.0
-TRAVEL_SECONDS = 0.005
-"""Time from a gateway to the worker, or to the owner and back."""
+COUNTED_WINDOW_SECONDS = 4.0
+LATENCY_SECONDS = 0.005
+"""Latency from a gateway to the worker, or to the owner and back."""
 
 
 @dataclass(frozen=True, slots=True)
-class LimitPlay:
-    """A worker with a limit of ``rate`` requests a second before so many gateways.
+class LimitSettings:
+    """Settings of a simulation: one worker with a limit of ``rate`` requests a second.
 
-    ``demand`` are calls a second, ``told`` the longest time in seconds until a gateway has news.
-    No owner answers between the times of ``lost``.
+    ``members`` is the number of gateways and ``demand`` the calls a second. Each gateway has
+    received the limit after ``max_notice_seconds`` at the latest; limits are checked from
+    ``known_everywhere_at`` on. No owner answers between the two times of ``owner_outage``.
     """
 
     members: int
     rate: float
     demand: float
     seconds: float = 30.0
-    told: float = 1.0
-    lost: tuple[float, float] = (12.0, 13.5)
-    contact: float = 3.0
+    max_notice_seconds: float = 1.0
+    owner_outage: tuple[float, float] = (12.0, 13.5)
+    known_everywhere_at: float = 3.0
 
 
-class Way(ABC):
-    """What the gateways do; calls of one object stand for all of them."""
+class Strategy(ABC):
+    """Strategy of all gateways; one object holds the state of every gateway."""
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        self.play = play
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        self.settings = settings
         self.source = source
         self.messages = 0
 
     @abstractmethod
-    def lets_through(self, member: int, now: float) -> bool:
-        """Return whether a gateway that knows of the limit sends a call to the worker."""
+    def admits(self, member: int, now: float) -> bool:
+        """Return whether a gateway that knows the limit sends a call to the worker."""
 
 
-class Ignored(Way):
-    """Nobody reads the limit."""
+class Unlimited(Strategy):
+    """No gateway applies the limit."""
 
-    def lets_through(self, member: int, now: float) -> bool:
+    def admits(self, member: int, now: float) -> bool:
         return True
 
 
-class EachForItself(Way):
-    """Each gateway keeps the whole limit by itself."""
+class WholeLimitEach(Strategy):
+    """Each gateway applies the whole limit to its own calls."""
 
-    part = 1.0
+    share = 1.0
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
-        self.free_at = [0.0] * play.members
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
+        self.free_at = [0.0] * settings.members
 
-    def lets_through(self, member: int, now: float) -> bool:
+    def admits(self, member: int, now: float) -> bool:
         if now < self.free_at[member]:
             return False
-        self.free_at[member] = now + 1.0 / (self.play.rate * self.part)
+        self.free_at[member] = now + 1.0 / (self.settings.rate * self.share)
         return True
 
 
-class EqualShares(EachForItself):
-    """Each gateway keeps its share of the limit by itself."""
+class EqualShares(WholeLimitEach):
+    """Each gateway applies an equal share of the limit to its own calls."""
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
-        self.part = 1.0 / play.members
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
+        self.share = 1.0 / settings.members
 
 
-class SharesByDemand(Way):
-    """A gateway's share follows its part of the demand that all told lately."""
+class SharesByDemand(Strategy):
+    """Each gateway's share of the limit is its part of the recently reported demand."""
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
-        self.asked: list[deque[float]] = [deque() for _ in range(play.members)]
-        self.tokens = [0.0] * play.members
-        self.filled_at = [0.0] * play.members
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
+        self.asked: list[deque[float]] = [deque() for _ in range(settings.members)]
+        self.tokens = [0.0] * settings.members
+        self.filled_at = [0.0] * settings.members
 
-    def lets_through(self, member: int, now: float) -> bool:
-        horizon = now - self.play.told
+    def admits(self, member: int, now: float) -> bool:
+        horizon = now - self.settings.max_notice_seconds
         self.asked[member].append(now)
         own = max(1, sum(at > horizon - 4.0 for at in self.asked[member]))
-        # Others' demand is known as it was when they last told.
+        # The demand of other gateways is known as of their last report.
         others = sum(
             sum(horizon - 4.0 < at <= horizon for at in times)
             for number, times in enumerate(self.asked)
             if number != member
         )
-        share = self.play.rate * own / (own + others)
+        share = self.settings.rate * own / (own + others)
         gained = (now - self.filled_at[member]) * share
         self.tokens[member] = min(1.0, self.tokens[member] + gained)
         self.filled_at[member] = now
@@ -111,16 +112,16 @@
         return True
 
 
-class OwnTimes(Way):
-    """Each gateway has times of its own, one request each."""
+class GatewaySlots(Strategy):
+    """Each gateway has time slots of its own, for one request each."""
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
-        self.slots = [LocalSlots(f"node-{number}") for number in range(play.members)]
-        self.offsets = [source.uniform(0, 1e6) for _ in range(play.members)]
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
+        self.slots = [LocalSlots(f"node-{number}") for number in range(settings.members)]
+        self.offsets = [source.uniform(0, 1e6) for _ in range(settings.members)]
 
-    def lets_through(self, member: int, now: float) -> bool:
-        rate, members, own = self.play.rate, self.play.members, now + self.offsets[member]
+    def admits(self, member: int, now: float) -> bool:
+        rate, members, own = self.settings.rate, self.settings.members, now + self.offsets[member]
         slots = self.slots[member]
         if not slots.open(WORKER, rate, members, own):
             return False
@@ -128,18 +129,18 @@
         return True
 
 
-class Leases(OwnTimes):
-    """The owner leases each gateway that asks the places of one second; unused ones are lost."""
+class Leases(GatewaySlots):
+    """The owner leases requests of one second to each gateway that asks; unused ones expire."""
 
     lease_seconds = 1.0
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
-        self.leased_until = [0.0] * play.members
-        self.places = [0] * play.members
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
+        self.leased_until = [0.0] * settings.members
+        self.places = [0] * settings.members
         self.second, self.left = -1, 0
 
-    def lets_through(self, member: int, now: float) -> bool:
+    def admits(self, member: int, now: float) -> bool:
         if now >= self.leased_until[member]:
             self._lease(member, now)
         if self.places[member] <= 0:
@@ -150,29 +151,29 @@
     def _lease(self, member: int, now: float) -> None:
         self.messages += 1
         if int(now) != self.second:
-            self.second, self.left = int(now), max(1, int(self.play.rate))
+            self.second, self.left = int(now), max(1, int(self.settings.rate))
         taken = min(self.left, max(1, self.left // 2))
         self.left -= taken
         self.places[member] = taken
         self.leased_until[member] = now + self.lease_seconds
 
 
-class OwnerGrants(OwnTimes):
-    """The owner grants each request; without an answer of it a gateway's own times decide."""
+class OwnerGrants(GatewaySlots):
+    """The owner grants each request; if it does not answer, the local time slots decide."""
 
-    def __init__(self, play: LimitPlay, source: random.Random) -> None:
-        super().__init__(play, source)
+    def __init__(self, settings: LimitSettings, source: random.Random) -> None:
+        super().__init__(settings, source)
         self.owner = GrantLog()
         self.replaced = False
 
-    def lets_through(self, member: int, now: float) -> bool:
-        lost_at, found_at = self.play.lost
+    def admits(self, member: int, now: float) -> bool:
+        lost_at, found_at = self.settings.owner_outage
         if lost_at <= now < found_at:
-            return super().lets_through(member, now)
+            return super().admits(member, now)
         if now >= found_at and not self.replaced:
             self.owner, self.replaced = GrantLog(), True
         self.messages += 1
-        if not self.owner.fits(WORKER, stated_limits(self.play.rate), now):
+        if not self.owner.fits(WORKER, stated_limits(self.settings.rate), now):
             return False
         self.owner.note(WORKER, now)
         return True
@@ -180,16 +181,19 @@
 
 @dataclass(slots=True)
 class LimitOutcome:
-    """What reached the worker, from when the limit was first named."""
+    """Requests that reached the worker, and messages to the owner."""
 
     arrivals: list[float] = field(default_factory=list)
     messages: int = 0
 
-    def most(self, since: float) -> int:
-        """Return the most requests in any four seconds from a time on."""
+    def max_requests(self, since: float) -> int:
+        """Return the highest number of requests in any four seconds from a time on."""
         times = [at for at in self.arrivals if at >= since]
         return max(
-            (bisect_left(times, at + WINDOW_SECONDS) - place for place, at in enumerate(times)),
+            (
+                bisect_left(times, at + COUNTED_WINDOW_SECONDS) - place
+                for place, at in enumerate(times)
+            ),
             default=0,
         )
 
@@ -198,21 +202,25 @@
         return sum(since <= at < until for at in self.arrivals) / (until - since)
 
 
-def play_limit(play: LimitPlay, way_of: type[Way], seed: int) -> LimitOutcome:
-    """Play callers that come while the worker names its limit."""
+def simulate_limit(
+    settings: LimitSettings, strategy_type: type[Strategy], seed: int
+) -> LimitOutcome:
+    """Simulate calls while the worker states its limit."""
     source = random.Random(seed)
-    way, outcome = way_of(play, source), LimitOutcome()
-    heard_at = [source.uniform(0.0, play.told) for _ in range(play.members)]
-    limits = [StatedLimits() for _ in range(play.members)]
+    strategy, outcome = strategy_type(settings, source), LimitOutcome()
+    received_at = [
+        source.uniform(0.0, settings.max_notice_seconds) for _ in range(settings.members)
+    ]
+    limits = [StatedLimits() for _ in range(settings.members)]
     now = 0.0
-    while (now := now + source.expovariate(play.demand)) < play.seconds:
-        member = source.randrange(play.members)
-        if now >= heard_at[member]:
-            limits[member].hear(WORKER, play.rate, now)
-        knows = limits[member].rate(WORKER, now) is not None
-        if knows and not way.lets_through(member, now):
+    while (now := now + source.expovariate(settings.demand)) < settings.seconds:
+        member = source.randrange(settings.members)
+        if now >= received_at[member]:
+            limits[member].hear(WORKER, settings.rate, now)
+        limit_is_known = limits[member].rate(WORKER, now) is not None
+        if limit_is_known and not strategy.admits(member, now):
             continue
-        outcome.arrivals.append(now + TRAVEL_SECONDS)
-        limits[member].hear(WORKER, play.rate, now + TRAVEL_SECONDS)
-    outcome.messages = way.messages
+        outcome.arrivals.append(now + LATENCY_SECONDS)
+        limits[member].hear(WORKER, settings.rate, now + LATENCY_SECONDS)
+    outcome.messages = strategy.messages
     return outcome
--- a/tests/scheduling/outlier_play.py
+++ b/tests/scheduling/outlier_play.py
@@ -1,7 +1,8 @@
-"""Plays gateways that send calls to workers, some of which fail a share of them, without a network.
+"""Simulates gateways that send calls to workers, some of which fail a share of them.
 
-Times in seconds on a clock of the play's own; a play with the same seed repeats. Calls come at
-random times to random gateways and end after a random time; a failed call is not repeated.
+There is no network; times are in seconds of a virtual clock. A run with the same seed gives the
+same result. Calls arrive at random times at random gateways and end after a random time. A failed
+call is not repeated.
 """
 
 import heapq
@@ -18,15 +19,15 @@
 
 
 @dataclass(frozen=True)
-class Scene:
-    """What is played; ``share`` of the calls at each of the ``failing`` workers fail.
-
-    ``noise`` is the share that every worker fails at any time, ``rate`` calls a second of the
-    fleet, ``interval`` the time between a gateway's heartbeats. ``bad_link`` counts gateways
-    whose every call to the first worker fails, ``one_zone`` has the failing workers fail only
-    the callers of the first zone. Without ``detecting`` only remembered failures count, without
-    ``ejecting`` the excess counts and verdicts do not, without ``telling`` each gateway learns
-    alone.
+class Settings:
+    """Settings of a simulation; ``share`` of the calls at each of the ``failing`` workers fail.
+
+    ``noise`` is the share that every worker fails at any time, ``rate`` the calls a second of the
+    fleet, ``interval`` the time between a gateway's heartbeats. ``bad_link`` is the number of
+    gateways whose calls to the first worker all fail. With ``one_zone`` the failing workers fail
+    only the callers of the first zone. If ``detects`` is false, only recent failures
+    count. If ``ejects`` is false, the excess counts and verdicts do not. If ``sends_reports`` is
+    false, gateways send no reports to each other.
     """
 
     gateways: int = 6
@@ -44,81 +45,81 @@
     unrepeatable: float = 0.0
     bad_link: int = 0
     one_zone: bool = False
-    detecting: bool = True
-    ejecting: bool = True
-    telling: bool = True
+    detects: bool = True
+    ejects: bool = True
+    sends_reports: bool = True
     seed: int = 1
 
 
 @dataclass
-class Played:
-    """What came of it.
+class SimulationResult:
+    """Result of a simulation.
 
-    ``ejections`` are times with gateway and worker; ``ends`` are those of restorations.
+    ``ejections`` and ``restorations`` hold the time, the gateway and the worker of each.
     """
 
     calls: list[tuple[float, str, bool]] = field(default_factory=list)
     ejections: list[tuple[float, int, str]] = field(default_factory=list)
-    ends: list[tuple[float, int, str]] = field(default_factory=list)
+    restorations: list[tuple[float, int, str]] = field(default_factory=list)
     probes_unrepeatable: int = 0
-    told_most: int = 0
+    max_reported: int = 0
 
     def failed_share(self, begin: float, end: float) -> float:
-        """Return the share of the calls of a span that failed."""
-        failed = [lost for at, _, lost in self.calls if begin <= at < end]
-        return sum(failed) / max(1, len(failed))
+        """Return the share of failed calls between two times."""
+        outcomes = [failed for at, _, failed in self.calls if begin <= at < end]
+        return sum(outcomes) / max(1, len(outcomes))
 
     def sent_share(self, workers: set[str], begin: float, end: float) -> float:
-        """Return the share of the calls of a span that some workers had."""
+        """Return the share of the calls between two times that went to some workers."""
         had = [worker in workers for at, worker, _ in self.calls if begin <= at < end]
         return sum(had) / max(1, len(had))
 
 
 class _Gateway:
-    def __init__(self, number: int, scene: Scene) -> None:
-        self.zone = f"z{number % scene.zones}"
-        self.random = random.Random(scene.seed * 1000 + number)
+    def __init__(self, number: int, settings: Settings) -> None:
+        self.zone = f"z{number % settings.zones}"
+        self.random = random.Random(settings.seed * 1000 + number)
         self.worker_statistics = WorkerStatisticsTable()
         self.outcomes = OutcomeTable(self.zone)
         self.detector = OutlierDetector(self.outcomes, self.random)
 
 
-class OutlierPlay:
-    """Runs one scene."""
+class OutlierSimulation:
+    """Simulation of one set of settings."""
 
-    def __init__(self, scene: Scene) -> None:
-        self._scene = scene
-        self._random = random.Random(scene.seed)
-        self._gateways = [_Gateway(number, scene) for number in range(scene.gateways)]
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self._random = random.Random(settings.seed)
+        self._gateways = [_Gateway(number, settings) for number in range(settings.gateways)]
         self._workers = [
-            WorkerRecord(f"w{number}", "s", "", f"z{number % scene.zones}", SLOTS)
-            for number in range(scene.workers)
+            WorkerRecord(f"w{number}", "s", "", f"z{number % settings.zones}", SLOTS)
+            for number in range(settings.workers)
         ]
         self._events: list[tuple[float, int, str, tuple[object, ...]]] = []
         self._count = 0
-        self.played = Played()
-
-    def run(self) -> Played:
-        """Play to the end."""
-        scene = self._scene
-        self._at(self._random.expovariate(scene.rate), "call")
-        for number in range(scene.gateways):
-            self._at(self._random.uniform(0.0, scene.interval), "beat", number)
-            self._at(self._random.uniform(0.0, JUDGE_SECONDS), "judge", number)
-        while self._events and self._events[0][0] < scene.seconds:
+        self.result = SimulationResult()
+
+    def run(self) -> SimulationResult:
+        """Run the simulation to its end and return the result."""
+        settings = self._settings
+        self._schedule(self._random.expovariate(settings.rate), "call")
+        for number in range(settings.gateways):
+            self._schedule(self._random.uniform(0.0, settings.interval), "beat", number)
+            self._schedule(self._random.uniform(0.0, JUDGE_SECONDS), "judge", number)
+        while self._events and self._events[0][0] < settings.seconds:
             now, _, kind, arguments = heapq.heappop(self._events)
             getattr(self, f"_{kind}")(now, *arguments)
-        return self.played
+        return self.result
 
-    def _at(self, at: float, kind: str, *arguments: object) -> None:
+    def _schedule(self, at: float, kind: str, *arguments: object) -> None:
         self._count += 1
         heapq.heappush(self._events, (at, self._count, kind, arguments))
 
     def _call(self, now: float) -> None:
-        self._at(now + self._random.expovariate(self._scene.rate), "call")
+        self._schedule(now + self._random.expovariate(self._settings.rate), "call")
         number = self._random.randrange(len(self._gateways))
         gateway = self._gateways[number]
-        repeatable = self._random.random() >= self._scene.unrepeatable
+        repeatable = self._random.random() >= self._settings.unrepeatable
         worker = choose_worker(
             self._workers,
             gateway.worker_statistics,
@@ -132,20 +133,20 @@
         statistics = gateway.worker_statistics.of(worker.worker_id)
         statistics.in_flight += 1
         if statistics.verdict is Verdict.HALF_OPEN and not repeatable:
-            self.played.probes_unrepeatable += 1
+            self.result.probes_unrepeatable += 1
         failed = self._fails(number, worker, now)
-        seconds = 0.01 if failed else self._random.expovariate(1.0 / self._scene.call_seconds)
-        self._at(now + seconds, "end", number, worker, failed)
+        seconds = 0.01 if failed else self._random.expovariate(1.0 / self._settings.call_seconds)
+        self._schedule(now + seconds, "end", number, worker, failed)
 
     def _fails(self, number: int, worker: WorkerRecord, now: float) -> bool:
-        scene = self._scene
+        settings = self._settings
         index = self._workers.index(worker)
-        if number < scene.bad_link and index == 0:
+        if number < settings.bad_link and index == 0:
             return True
-        bad = index < scene.failing and scene.fails_at <= now < scene.fails_until
-        if scene.one_zone and number % scene.zones:
+        bad = index < settings.failing and settings.fails_at <= now < settings.fails_until
+        if settings.one_zone and number % settings.zones:
             bad = False
-        return self._random.random() < (scene.share if bad else scene.noise)
+        return self._random.random() < (settings.share if bad else settings.noise)
 
     def _end(self, now: float, number: int, worker: WorkerRecord, failed: bool) -> None:
         gateway = self._gateways[number]
@@ -155,28 +156,28 @@
             statistics.failures.append(now)
         outcome = CallOutcome.FAULT if failed else CallOutcome.SERVED
         gateway.outcomes.note(worker.worker_id, outcome, now)
-        self.played.calls.append((now, worker.worker_id, failed))
+        self.result.calls.append((now, worker.worker_id, failed))
         if failed:
             self._judge_now(now, number)
 
     def _beat(self, now: float, number: int) -> None:
-        scene, gateway = self._scene, self._gateways[number]
-        self._at(now + scene.interval, "beat", number)
-        if not scene.telling:
+        settings, gateway = self._settings, self._gateways[number]
+        self._schedule(now + settings.interval, "beat", number)
+        if not settings.sends_reports:
             return
-        told = gateway.outcomes.reported(now)
-        self.played.told_most = max(self.played.told_most, len(told))
+        reports = gateway.outcomes.reported(now)
+        self.result.max_reported = max(self.result.max_reported, len(reports))
         for other in self._gateways:
             if other is not gateway:
-                other.outcomes.take(f"g{number}", gateway.zone, told, now)
+                other.outcomes.take(f"g{number}", gateway.zone, reports, now)
 
     def _judge(self, now: float, number: int) -> None:
-        self._at(now + JUDGE_SECONDS, "judge", number)
+        self._schedule(now + JUDGE_SECONDS, "judge", number)
         self._judge_now(now, number)
 
     def _judge_now(self, now: float, number: int) -> None:
         gateway = self._gateways[number]
-        if not self._scene.detecting:
+        if not self._settings.detects:
             return
         if not gateway.outcomes.failing(now) and not gateway.detector.judged():
             return
@@ -184,15 +185,15 @@
         for worker in self._workers:
             excess = gateway.detector.excess(worker.worker_id)
             gateway.worker_statistics.of(worker.worker_id).excess = excess
-        for change in changes if self._scene.ejecting else ():
+        for change in changes if self._settings.ejects else ():
             worker_id = change.worker.worker_id
             gateway.worker_statistics.of(worker_id).verdict = change.after
             if change.after is Verdict.EJECTED:
-                self.played.ejections.append((now, number, worker_id))
+                self.result.ejections.append((now, number, worker_id))
             if change.after is Verdict.SOUND:
-                self.played.ends.append((now, number, worker_id))
+                self.result.restorations.append((now, number, worker_id))
 
 
-def play(scene: Scene) -> Played:
-    """Return what came of a scene."""
-    return OutlierPlay(scene).run()
+def simulate(settings: Settings) -> SimulationResult:
+    """Run a simulation and return its result."""
+    return OutlierSimulation(settings).run()
--- a/tests/scheduling/test_incarnations.py
+++ b/tests/scheduling/test_incarnations.py
@@ -1,7 +1,8 @@
-"""Incarnations of workers in the list: whatever is told in whatever order, the newest stands.
+"""Incarnations in the worker list: the newest one stays, in whatever order changes arrive.
 
-State about a worker was kept by a name that its next incarnation bore as well: one that had
-answered 421 stayed out of use after it had started again, and failures of before still counted.
+Guards against state that is carried over to the next incarnation of a worker. State was kept by the
+name, which both incarnations share: a worker that had answered 421 got no calls after its restart,
+and failures from before the restart still counted.
 """
 
 import msgspec
@@ -21,10 +22,10 @@
 
 @given(st.data())
 def test_any_order_of_rows_and_lists_ends_in_the_newest_incarnations(data: st.DataObject) -> None:
-    """Every change is told once at least; whole lists of any moments come in between.
+    """Every change arrives at least once, with complete lists of any revision in between.
 
-    A whole list holds no row that is gone. A change from before it, told late, brought a worker
-    back that had gone.
+    A complete list does not hold removed rows. A change from before the list that arrived late
+    brought back a worker that had been removed.
     """
     truth: dict[str, WorkerRecord] = {}
     history: list[WorkerChange] = []
@@ -40,8 +41,8 @@
         history.append(WorkerChange(name, revision, changed))
         states.append(dict(truth))
     workers = WorkerList()
-    told = data.draw(st.permutations(history + data.draw(st.lists(st.sampled_from(history)))))
-    for change in told:
+    arriving = data.draw(st.permutations(history + data.draw(st.lists(st.sampled_from(history)))))
+    for change in arriving:
         workers.apply_row(change.name, change.record, change.revision)
         if data.draw(st.booleans()):
             at = data.draw(st.integers(0, len(history)))
@@ -71,7 +72,7 @@
     assert not workers.replaced(old)
 
 
-def test_what_was_known_of_an_incarnation_is_not_known_of_the_next() -> None:
+def test_statistics_are_not_carried_over_to_the_next_incarnation() -> None:
     worker_statistics = WorkerStatisticsTable()
     old = incarnation("a", 1, 5, leaving=False)
     new = incarnation("a", 2, 6, leaving=False)
@@ -85,9 +86,9 @@
     assert len(ids) == len(incarnations)
 
 
-def test_an_incarnation_is_the_same_at_a_peer() -> None:
+def test_an_incarnation_keeps_its_id_when_sent_to_a_peer() -> None:
     record = incarnation("a", 17, 5, leaving=False)
     before = record.worker_id
-    told = msgspec.msgpack.decode(msgspec.msgpack.encode(record), type=WorkerRecord)
-    assert told == record
-    assert told.worker_id == before
+    received = msgspec.msgpack.decode(msgspec.msgpack.encode(record), type=WorkerRecord)
+    assert received == record
+    assert received.worker_id == before
--- a/tests/scheduling/test_limited_fleet.py
+++ b/tests/scheduling/test_limited_fleet.py
@@ -1,7 +1,7 @@
-"""Real gateways of several fleet sizes before engines that name rate limits, on a virtual clock.
+"""Gateways of several fleet sizes with engines that state rate limits, on a virtual clock.
 
-Forty calls a second come to 13 engines. Each call prefers an engine that looks idle, and a limited
-one does.
+The gateways run the production code. Forty calls a second go to 13 engines. Guards against limits
+that are exceeded because each call prefers an engine that looks idle, as a limited one does.
 """
 
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Size:
-    """A fleet: gateways in each of two zones, the time between news, and how long it is played."""
+    """Size of a fleet: gateways in each of two zones, heartbeat interval, and simulated time."""
 
     gateways: int
     heartbeat_seconds: float
@@ -39,7 +39,7 @@
 SIZES = (Size(3, 0.25, 16.0), Size(31, 1.0, 9.0), Size(98, 2.0, 7.5))
 
 
-def fleet(size: Size, limits: dict[int, float]) -> Play:
+def simulated_fleet(size: Size, limits: dict[int, float]) -> Play:
     workers = [
         WorkerRecord(
             name=f"llm{number}",
@@ -62,8 +62,8 @@
     )
 
 
-def most_in_a_window(world: World, name: str) -> int:
-    """Return the most requests that an engine got in any 4 s, once all could know of its limit."""
+def max_in_a_window(world: World, name: str) -> int:
+    """Return the most requests an engine got in any 4 s, once all gateways can know its limit."""
     times = world.sent_at.get(name, [])
     since = min(times, default=0.0) + CONTACT_SECONDS
     later = [at for at in times if at >= since]
@@ -71,35 +71,35 @@
 
 
 @pytest.mark.parametrize("size", SIZES, ids=lambda size: f"{2 * size.gateways} gateways")
-def test_limited_engines_get_their_rate_and_the_others_the_rest(
+def test_limited_engines_stay_within_their_rate_and_others_serve_the_rest(
     size: Size, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     limits = {0: 1.2, 1: 1.0, 2: 4.0, 3: 1.2}
-    world = run_play(fleet(size, limits), monkeypatch)
+    world = run_play(simulated_fleet(size, limits), monkeypatch)
     for number, rate in limits.items():
-        assert most_in_a_window(world, f"llm{number}") <= 4 * rate
+        assert max_in_a_window(world, f"llm{number}") <= 4 * rate
     outcomes = world.outcomes["talk"]
     assert outcomes.refused == 0
     assert outcomes.in_time_share >= 0.98
 
 
 @pytest.mark.parametrize("size", SIZES, ids=lambda size: f"{2 * size.gateways} gateways")
-def test_when_every_engine_is_limited_the_rest_is_refused_at_once(
+def test_calls_beyond_the_limits_of_all_engines_are_refused_at_once(
     size: Size, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     limits = dict.fromkeys(range(ENGINES), 1.2)
-    world = run_play(fleet(size, limits), monkeypatch)
+    world = run_play(simulated_fleet(size, limits), monkeypatch)
     for number in limits:
-        assert most_in_a_window(world, f"llm{number}") <= 1.5 * 4 * 1.2 + 5
+        assert max_in_a_window(world, f"llm{number}") <= 1.5 * 4 * 1.2 + 5
     outcomes = world.outcomes["talk"]
     refused = outcomes.refused + outcomes.refused_again
     assert refused > 0.3 * outcomes.asked
     assert outcomes.held / refused < 0.1
 
 
-def test_limits_that_are_ignored_are_exceeded_in_the_same_play(
+def test_the_same_simulation_without_limits_exceeds_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = run_play(fleet(SIZES[0], {}), monkeypatch)
-    most = max(most_in_a_window(world, f"llm{number}") for number in range(ENGINES))
+    world = run_play(simulated_fleet(SIZES[0], {}), monkeypatch)
+    most = max(max_in_a_window(world, f"llm{number}") for number in range(ENGINES))
     assert most > 1.5 * 4 * 1.2 + 5
--- a/tests/scheduling/test_outlier_detection.py
+++ b/tests/scheduling/test_outlier_detection.py
@@ -1,12 +1,10 @@
-"""Verdicts on workers that fail part of their calls while their health check is good.
+"""Verdicts on workers that fail part of their calls while their health checks succeed.
 
-What users saw: engines failed every second call for 26 s, others of the service were sound, and
-calls went on to the failing ones until the end (412 calls served at their first attempt, 143
-failed; trials of failing engines beside broken streams).
-
-Cause: each gateway remembered a failure for 4 s, by itself, and sends an engine one call in two
-seconds, so it forgot what it had learned before the next call came; the owner that grants engines
-learned nothing of the failures that others saw.
+Guards against calls that go on to failing workers although others are healthy: engines failed every
+second call for 26 s and still got calls to the end (412 calls served at their first attempt, 143
+failed; trials with failing engines and interrupted streams). Each gateway counted a failure for 4 s
+and only its own, but sends an engine one call in two seconds, so too few failures counted at a
+time. The owner that grants engines did not know the failures seen by other gateways.
 """
 
 import random
@@ -46,15 +44,14 @@
     return OutlierDetector(outcomes, random.Random(1))
 
 
-def book_with(*failing: str, calls: int = 6, outcome: CallOutcome = FAULT) -> OutcomeTable:
-    """Return a worker_statistics by which some workers fail every second call and the others
-    none."""
-    worker_statistics = OutcomeTable("a")
+def outcomes_with(*failing: str, calls: int = 6, outcome: CallOutcome = FAULT) -> OutcomeTable:
+    """Return outcomes in which some workers fail every second call and the others none."""
+    outcomes = OutcomeTable("a")
     for number in range(calls):
         for worker in WORKERS:
             bad = worker.worker_id in failing and number % 2 == 0
-            worker_statistics.note(worker.worker_id, outcome if bad else SERVED, number * 0.5)
-    return worker_statistics
+            outcomes.note(worker.worker_id, outcome if bad else SERVED, number * 0.5)
+    return outcomes
 
 
 def verdicts(detector: OutlierDetector) -> dict[str, Verdict]:
@@ -63,8 +60,8 @@
 
 
 def ejected() -> tuple[OutcomeTable, OutlierDetector]:
-    """Return a state in which ``w0`` was ejected at 3 s."""
-    outcomes = book_with("w0")
+    """Return outcomes and a detector that ejected ``w0`` at 3 s."""
+    outcomes = outcomes_with("w0")
     detector = detector_of(outcomes)
     detector.judge(WORKERS, 3.0)
     assert verdicts(detector) == {"w0": Verdict.EJECTED}
@@ -80,15 +77,15 @@
 
 
 def test_worker_that_fails_far_more_than_the_others_is_ejected() -> None:
-    detector = detector_of(book_with("w0"))
+    detector = detector_of(outcomes_with("w0"))
     (change,) = detector.judge(WORKERS, 3.0)
     assert change.worker.worker_id == "w0"
     assert (change.before, change.after) == (Verdict.SOUND, Verdict.EJECTED)
     assert change.bound > change.others
 
 
-def test_no_more_than_a_share_is_ejected_and_that_is_the_worst() -> None:
-    outcomes = book_with("w0", "w1", "w2", "w3")
+def test_ejections_are_limited_to_a_share_and_take_the_worst_workers() -> None:
+    outcomes = outcomes_with("w0", "w1", "w2", "w3")
     for _ in range(4):
         for worker in ("w1", "w2", "w3"):
             outcomes.note(worker, FAULT, 3.0)
@@ -100,19 +97,19 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 6])
-def test_workers_that_all_fail_are_all_kept(count: int) -> None:
+def test_no_worker_is_ejected_if_all_fail(count: int) -> None:
     workers = WORKERS[:count]
-    outcomes = book_with(*(worker.worker_id for worker in workers), calls=20)
+    outcomes = outcomes_with(*(worker.worker_id for worker in workers), calls=20)
     detector = detector_of(outcomes)
     assert not detector.judge(workers, 10.0)
 
 
-def test_only_worker_of_a_service_is_kept() -> None:
-    detector = detector_of(book_with("w0", calls=20))
+def test_the_only_worker_of_a_service_is_not_ejected() -> None:
+    detector = detector_of(outcomes_with("w0", calls=20))
     assert not detector.judge(ALONE, 10.0)
 
 
-def test_ejected_worker_becomes_half_open_in_time_and_not_before() -> None:
+def test_ejected_worker_becomes_half_open_when_its_ejection_expires() -> None:
     _, detector = ejected()
     detector.judge(WORKERS, 3.0 + EJECTION_SECONDS * (1.0 - EJECTION_SPREAD) - 0.1)
     assert verdicts(detector) == {"w0": Verdict.EJECTED}
@@ -120,7 +117,7 @@
     assert verdicts(detector) == {"w0": Verdict.HALF_OPEN}
 
 
-def test_half_open_worker_is_restored_by_its_probes_and_its_old_failures_count_no_more() -> None:
+def test_served_probes_restore_a_half_open_worker_and_discount_old_failures() -> None:
     outcomes, detector, now = half_open()
     for number in range(5):
         outcomes.note("w0", SERVED, now + 0.1 * number)
@@ -131,7 +128,7 @@
     assert not verdicts(detector)
 
 
-def test_one_failed_probe_ejects_again_for_longer() -> None:
+def test_one_failed_probe_ejects_a_worker_again_for_longer() -> None:
     outcomes, detector, now = half_open()
     outcomes.note("w0", SERVED, now + 0.1)
     outcomes.note("w0", FAULT, now + 0.2)
@@ -143,57 +140,57 @@
     assert verdicts(detector) == {"w0": Verdict.HALF_OPEN}
 
 
-def test_half_open_worker_that_is_sent_no_probe_is_restored_after_a_while() -> None:
+def test_half_open_worker_without_probes_is_restored_after_a_time_limit() -> None:
     _, detector, now = half_open()
     detector.judge(WORKERS, now + LONGEST_HALF_OPEN_SECONDS)
     assert not verdicts(detector)
 
 
-def test_breaks_at_several_workers_at_once_are_this_side_s_fault() -> None:
+def test_simultaneous_connection_failures_at_several_workers_do_not_count() -> None:
     outcomes = OutcomeTable("a")
-    for moment in range(6):
+    for second in range(6):
         for worker in WORKERS[:2]:
-            outcomes.note(worker.worker_id, BROKEN, moment * 1.0)
+            outcomes.note(worker.worker_id, BROKEN, second * 1.0)
     assert not outcomes.evidence("w0", 7.0).near.failed
     assert not detector_of(outcomes).judge(WORKERS, 7.0)
 
 
-def test_breaks_at_one_worker_only_count_once_each() -> None:
+def test_connection_failures_at_one_worker_count_once_each() -> None:
     outcomes = OutcomeTable("a")
-    for moment in range(4):
-        outcomes.note("w0", BROKEN, moment * 1.0)
+    for second in range(4):
+        outcomes.note("w0", BROKEN, second * 1.0)
         for _ in range(3):
-            evidence = outcomes.evidence("w0", moment + 0.5)
+            evidence = outcomes.evidence("w0", second + 0.5)
     assert 2.5 < evidence.near.failed < 4.0
     detector = detector_of(outcomes)
     detector.judge(WORKERS, 3.5)
     assert verdicts(detector) == {"w0": Verdict.EJECTED}
 
 
-def test_breaks_are_not_told_and_faults_are() -> None:
-    outcomes = book_with("w0")
+def test_faults_are_reported_to_peers_and_connection_failures_are_not() -> None:
+    outcomes = outcomes_with("w0")
     assert [item.worker_id for item in outcomes.reported(3.0)] == ["w0"]
-    assert not book_with("w0", outcome=BROKEN).reported(3.0)
+    assert not outcomes_with("w0", outcome=BROKEN).reported(3.0)
 
 
-def test_one_gateway_condemns_no_worker_for_the_others_and_two_do() -> None:
+def test_reports_of_one_peer_never_eject_a_worker_and_those_of_two_do() -> None:
     outcomes = OutcomeTable("a")
     detector = detector_of(outcomes)
-    told = [ReportedOutcomes("w0", 0, 1000)]
-    outcomes.take("p", "a", told, 1.0)
+    report = [ReportedOutcomes("w0", 0, 1000)]
+    outcomes.take("p", "a", report, 1.0)
     assert not detector.judge(WORKERS, 1.0)
-    outcomes.take("q", "a", told, 1.0)
+    outcomes.take("q", "a", report, 1.0)
     assert detector.judge(WORKERS, 1.0)
 
 
-def test_worker_that_fails_the_callers_of_another_zone_is_kept_by_those_it_serves() -> None:
-    outcomes = book_with(calls=40)
+def test_worker_that_fails_only_callers_of_another_zone_is_not_ejected() -> None:
+    outcomes = outcomes_with(calls=40)
     for peer in range(10):
         outcomes.take(f"p{peer}", "b", [ReportedOutcomes("w0", 10, 20)], 19.5)
     assert not detector_of(outcomes).judge(WORKERS, 20.0)
 
 
-def test_word_of_a_silent_peer_counts_no_more() -> None:
+def test_reports_of_a_removed_peer_do_not_count() -> None:
     outcomes = OutcomeTable("a")
     for peer in ("p", "q"):
         outcomes.take(peer, "a", [ReportedOutcomes("w0", 0, 20)], 1.0)
@@ -201,7 +198,7 @@
     assert not detector_of(outcomes).judge(WORKERS, 1.0)
 
 
-def test_workers_that_are_gone_are_forgotten() -> None:
+def test_state_of_removed_workers_is_discarded() -> None:
     outcomes, detector = ejected()
     outcomes.forget_all_but({"w1"})
     detector.forget_all_but({"w1"})
@@ -209,17 +206,17 @@
     assert not detector.judged()
 
 
-def test_what_is_told_is_bounded_and_the_worst_comes_first() -> None:
+def test_reports_are_limited_in_number_and_start_with_the_worst_worker() -> None:
     outcomes = OutcomeTable("a")
     for number in range(2 * MOST_TOLD):
         for _ in range(1 + number % 50):
             outcomes.note(f"w{number}", FAULT, 0.0)
-    told = outcomes.reported(0.0)
-    assert len(told) == MOST_TOLD
-    assert told[0].faults == max(item.faults for item in told) == 500
+    reports = outcomes.reported(0.0)
+    assert len(reports) == MOST_TOLD
+    assert reports[0].faults == max(item.faults for item in reports) == 500
 
 
-def test_unrepeatable_calls_are_no_probes_and_probes_are_few() -> None:
+def test_unrepeatable_calls_never_probe_and_probes_are_limited() -> None:
     worker_statistics = WorkerStatisticsTable()
     worker_statistics.of("w0").verdict = Verdict.HALF_OPEN
     for worker in WORKERS[1:]:
@@ -238,7 +235,7 @@
     assert chosen(repeatable=True) != "w0"
 
 
-def test_ejected_engines_come_last_and_are_still_there() -> None:
+def test_ejected_engines_are_ranked_last_but_stay_candidates() -> None:
     worker_statistics = WorkerStatisticsTable()
     worker_statistics.of("w0").verdict = Verdict.EJECTED
     ranked = EngineChooser().rank(
@@ -259,7 +256,7 @@
 
 
 @given(steps=STEPS, seed=st.integers(0, 1000))
-def test_whatever_happens_half_of_the_workers_stay_and_weights_stay_sound(
+def test_at_most_half_of_the_workers_are_ejected_and_weights_stay_in_range(
     steps: list[tuple[int, CallOutcome, float]], seed: int
 ) -> None:
     outcomes, now = OutcomeTable("a"), 0.0
@@ -278,7 +275,7 @@
 
 
 @given(steps=STEPS, seed=st.integers(0, 1000))
-def test_without_failures_nobody_is_ejected_and_nothing_told(
+def test_without_failures_no_worker_is_ejected_or_reported(
     steps: list[tuple[int, CallOutcome, float]], seed: int
 ) -> None:
     outcomes, now = OutcomeTable("a"), 0.0
