--- a/src/corkcrank/scheduling/call_admission.py
+++ b/src/corkcrank/scheduling/call_admission.py
@@ -1,8 +1,8 @@
-"""Admission of a call over its whole chain, before any work is begun.
+"""Admission control for a call, by a forecast of its whole stage graph before any work starts.
 
-The forecast adds, along the graph, when each stage's pieces would end at the best worker
-now, and the usual time of the model engine to its first event. A call that cannot meet
-its objective is refused at once and told when it could be served.
+The forecast sums, along the graph, the time at which each stage's pieces would end at the best
+worker now, and the usual time of the model engine to its first event. A call that is unlikely to
+meet its objective is refused at once with a time after which to retry.
 """
 
 import math
@@ -14,39 +14,40 @@
 from corkcrank.scheduling.forecast_bias import ForecastCorrection
 
 REFUSAL_COST = 1.0
-"""What a refusal costs: its caller's call. One in five that come back is still served in time."""
+"""Cost of a refusal: one lost call. One in five callers that retry is still served in time."""
 
 LATE_COST = 2.0
-"""What a late answer costs, in refusals: its own caller's call, and that of another, whose turn it
-took. Where it costs more, more are refused; less, and more are held for nothing."""
+"""Cost of a late answer in refusals: the late call, and another call that lost its place to it. A
+higher cost refuses more calls; a lower one admits more calls that then wait in vain."""
 
-LEAST_CHANCE = LATE_COST / (LATE_COST + REFUSAL_COST)
-"""Chance to be in time below which a call is refused: where both choices cost the same."""
+MIN_IN_TIME_PROBABILITY = LATE_COST / (LATE_COST + REFUSAL_COST)
+"""Probability to be in time below which a call is refused: here both choices cost the same."""
 
-RESERVED_DEVIATIONS = NormalDist().inv_cdf(LEAST_CHANCE)
-"""The same in standard deviations of the forecast."""
+RESERVED_DEVIATIONS = NormalDist().inv_cdf(MIN_IN_TIME_PROBABILITY)
+"""The same threshold in standard deviations of the forecast."""
 
 OVERRUN_DEVIATIONS = 2.0
-"""Standard deviations of the forecast by which a call that was begun may overrun its objective
-before it is given up: one in 44 ends later."""
+"""Standard deviations of the forecast by which a started call may overrun its objective before it
+is abandoned: one call in 44 ends later than that."""
 
 IDLE_WAIT_SECONDS = 0.05
-"""Longest wait of a chain's stages, in seconds, below which workers count as idle: less than a call
-at one of them takes."""
+"""Workers count as idle if no stage of the chain has a longer wait than this, in seconds: it is
+shorter than a call at a worker."""
 
 SHORTEST_RETRY = 0.1
-"""Shortest time after which a refused caller is told to come back, in seconds."""
+"""Minimum retry time for a refused caller, in seconds."""
 
-LONGEST_RETRY_SHARE = 0.3
-"""Callers wait at most a third of the time that they have left; a little less is told."""
+MAX_RETRY_SHARE = 0.3
+"""Maximum retry time as a share of the time left: callers wait at most a third of it, so a little
+less is reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageForecast:
-    """When pieces of a call that is not yet at a stage would start and end, in seconds from now.
+    """Expected start and end of a call's pieces at a future stage, in seconds from now.
 
-    ``queued`` is when they would start if they were there now: the part of the wait that is
-    for pieces which wait or are at work already, not for those that are foreseen.
+    ``queued`` is the start if the pieces arrived now: the part of the wait that is caused by
+    pieces already waiting or running, without those that are only forecast to arrive.
     """
 
     start: float
@@ -56,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainForecast:
-    """When the stages of a call would end, in seconds from now.
+    """Expected end of a call's stages, in seconds from now.
 
-    ``waiting`` is the part spent in queues, ``working`` the part at work. ``queued`` is the
-    longest wait that a stage has now, without what is foreseen to come before the call.
+    ``waiting`` is the time spent in queues, ``working`` the time spent running. ``queued`` is
+    the longest current wait at any stage, without pieces that are only forecast to arrive first.
     """
 
     end: float
@@ -68,7 +69,7 @@
 
     @property
     def working(self) -> float:
-        """Return the part spent at work."""
+        """Return the time spent running."""
         return self.end - self.waiting
 
 
@@ -82,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionVerdict:
-    """Whether a call may begin, the forecast behind it, and when to come back.
+    """An admission decision with the forecast behind it and the time after which to retry.
 
     ``stages_seconds`` is the forecast of the stages before its correction, ``spread_seconds``
-    the standard deviation of ``forecast_seconds``.
+    the standard deviation of ``forecast_seconds``. All times are in seconds.
     """
 
     admitted: bool
@@ -101,9 +102,9 @@
     counts: tuple[int, ...],
     forecast: Callable[[int], StageForecast | None],
 ) -> ChainForecast:
-    """Return when the last stage would end; a stage nobody serves ends never.
+    """Return the forecast of the last stage's end, infinite if a stage has no worker.
 
-    A queue that is waited for while an earlier stage works is not waited for again.
+    The part of a stage's wait that overlaps with earlier stages is counted once.
     """
     ends: dict[int, ChainForecast] = {}
     queued = 0.0
@@ -133,15 +134,18 @@
     *,
     returning: bool,
 ) -> AdmissionVerdict:
-    """Return whether a call may begin.
+    """Decide whether a call may start.
 
-    ``correction`` tells how far earlier forecasts of the stages were off. ``objective_seconds``
-    and ``left_seconds`` are from now. A call is admitted whose chance to be in time is at least
-    :data:`LEAST_CHANCE`; one that has come back, if that is an even chance, so that it is
-    refused again less often. Late answers of some would make others late; where nothing
-    waits now, they make nobody late, so whoever comes then is served by its deadline. What
-    is only foreseen to come before a call does not count there: nobody is refused beside free
-    workers and empty queues for it (test_free_workers.py).
+    ``correction`` holds the error of earlier forecasts of the stages. ``objective_seconds`` is the
+    time until the objective and ``left_seconds`` the time until the deadline, both from now.
+
+    A call is admitted if its probability to be in time is at least
+    :data:`MIN_IN_TIME_PROBABILITY`. A ``returning`` call, which was refused before, needs an even
+    chance only, so that it is refused again less often. A late answer makes other calls late if
+    calls are queued. If nothing is queued now, it delays no other call, so the deadline applies
+    instead of the objective. Pieces that are only forecast to arrive first don't count as queued:
+    no call is refused because of them while workers are free and queues are empty
+    (test_free_workers.py).
 
     >>> sure, engine = ForecastCorrection(prior_share=0.0), EngineForecast(0.3)
     >>> admit(ChainForecast(0.5, 0.1, 0.1), sure, engine, 1.6, 8.0, returning=False).admitted
@@ -160,6 +164,6 @@
         slack = max(slack, left_seconds - needed)
     if slack >= 0:
         return AdmissionVerdict(True, chain.end, needed, slack, spread)
-    longest = LONGEST_RETRY_SHARE * left_seconds
+    longest = MAX_RETRY_SHARE * left_seconds
     retry = min(longest, max(SHORTEST_RETRY, -slack))
     return AdmissionVerdict(False, chain.end, needed, slack, spread, retry)
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -1,9 +1,10 @@
-"""Choice of a model engine by what it would have to read before the call's first event.
+"""Choice of the model engine for a prompt, by the tokens to prefill before the first event.
 
-The cost of an engine is the prompt tokens that it still has to read for calls sent before,
-and those of the new prompt that it does not keep. Gateways tell each other which shared
-parts they sent where and what is still unread, so the view is the fleet's, some hundred
-milliseconds old. Ties go to the highest rendezvous hash, the same one in every gateway.
+The cost of an engine is the number of prompt tokens that it still has to read for earlier calls,
+plus the tokens of the new prompt that its prefix cache does not hold. Gateways report to each
+other which shared parts they sent to which engine and how many tokens are unread, so the costs
+cover the whole fleet, with a lag of some hundred milliseconds. Ties go to the engine with the
+highest rendezvous hash, which is the same one in every gateway.
 """
 
 from collections import OrderedDict
@@ -15,31 +16,31 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.scheduling.worker_choice import WorkerStatistics, WorkerStatisticsTable
 
-READ_AGAIN_FACTOR = 4.0
-"""Tokens that another engine keeps, and this one would read again, count this much more."""
+REREAD_COST_FACTOR = 4.0
+"""Extra cost of each token that another engine has cached and this one would read again."""
 
-KEPT_ELSEWHERE_SECONDS = 10.0
-"""Time for which a part that another engine read counts as kept there."""
+CACHED_ELSEWHERE_SECONDS = 10.0
+"""Time for which a part that another engine read counts as cached there."""
 
-FAILURE_TOKENS = 6_000.0
-"""Tokens that one remembered failure counts as."""
+FAILURE_COST_TOKENS = 6_000.0
+"""Cost of one recent failure, in tokens."""
 
-EJECTED_TOKENS = 12_000.0
-"""Tokens that an ejection counts as: about a prompt of the longest kind. A longer queue at the
-others outweighs it, so calls do not herd on the few that are left."""
+EJECTION_COST_TOKENS = 12_000.0
+"""Cost of an ejection in tokens: about one of the longest prompts. Longer queues at the other
+engines outweigh it, so that calls do not pile up on the few engines that remain."""
 
-EXCESS_TOKENS = 12_000.0
-"""Tokens of an engine that is expected to fail all of its calls while the others fail none: a
-failed call's prompt is read by another engine, while what its stages made waits."""
+EXCESS_FAILURE_COST_TOKENS = 12_000.0
+"""Cost in tokens of an engine that is expected to fail all of its calls while the others fail
+none: another engine reads a failed call's prompt, and the stage results wait meanwhile."""
 
-DISTURBANCE_FACTOR = 5.0
-"""A token that is read in a row beyond what the engine's streams bear counts as this many more."""
+STREAM_DELAY_COST_FACTOR = 5.0
+"""Extra cost of each token by which consecutive prefill exceeds what delays no stream."""
 
-CALL_TOKENS = 60.0
-"""Tokens that each call in flight counts as: every step takes longer with it."""
+IN_FLIGHT_CALL_COST_TOKENS = 60.0
+"""Cost of each call in flight, in tokens: each call makes every engine step longer."""
 
-TIE_TOKENS = 400.0
-"""Costs that differ by less are equal; the hash decides."""
+COST_TIE_TOKENS = 400.0
+"""Costs are compared in units of this many tokens; the hash breaks ties."""
 
 
 @dataclass(slots=True)
@@ -49,7 +50,7 @@
 
 
 class PrefixMemory:
-    """Shared parts that were sent to one engine, least recently used first."""
+    """Shared parts that one engine's prefix cache probably holds, least recently used first."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity = capacity_tokens
@@ -57,7 +58,7 @@
         self._tokens = 0
 
     def cached_tokens(self, parts: Iterable[PrefixPart]) -> int:
-        """Return the tokens of the leading parts that are kept."""
+        """Return the number of tokens in the leading parts that are cached."""
         tokens = 0
         for part in parts:
             if part.part_id not in self._parts:
@@ -66,12 +67,12 @@
         return tokens
 
     def used_since(self, part_id: str, since: float) -> bool:
-        """Return whether a part was sent after a time."""
+        """Return whether a part was sent at or after a time."""
         known = self._parts.get(part_id)
         return known is not None and known.used_at >= since
 
     def touch(self, parts: Iterable[PrefixPart], now: float) -> None:
-        """Note that the engine reads these parts now."""
+        """Record that the engine reads these parts now; evicts the least recently used ones."""
         for part in parts:
             known = self._parts.pop(part.part_id, None)
             if known is None:
@@ -84,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineQuestion:
-    """What a choice depends on beside the engines' own state.
+    """Inputs of a choice apart from the engines' own state.
 
-    ``weights`` gives each engine's share of new prompts, ``penalties`` tokens that count
-    against it, both by worker id. ``reading`` gives the tokens being read, where an owner
-    knows them; otherwise what this gateway and its peers told counts. ``calm_tokens`` is how much
-    an engine may read in a row before its streams are late. A ``repeatable`` call may be the probe
-    of a half-open engine.
+    ``weights`` gives each engine's share of new prompts and ``penalties`` its extra cost in
+    tokens, both by worker id. ``reading`` gives the tokens being read, if an owner knows them;
+    otherwise the counts of this gateway and the reports of its peers apply. ``calm_tokens`` is
+    the number of tokens that an engine may read in a row before its streams are late. A
+    ``repeatable`` call may serve as the probe of a half-open engine.
     """
 
     prompt: PromptShape
@@ -103,7 +104,7 @@
 
 
 class EngineChooser:
-    """Ranks engines for prompts and remembers what was sent where."""
+    """Ranks engines for prompts and tracks which shared parts were sent to which engine."""
 
     def __init__(self) -> None:
         self._memories: dict[str, PrefixMemory] = {}
@@ -122,31 +123,33 @@
             if engine.worker_id not in question.excluded
             and not worker_statistics.of(engine.worker_id).out_of_use(now)
         ]
-        affinity = _affinity(question.prompt)
-        kept = self._kept_somewhere(usable, question.prompt, now)
+        affinity = _affinity_key(question.prompt)
+        kept = self._recently_read_parts(usable, question.prompt, now)
 
         def order(engine: WorkerRecord) -> tuple[int, float]:
             cost = self._cost(engine, kept, question, worker_statistics.of(engine.worker_id), now)
             weight = question.weights.get(engine.worker_id, 1.0)
-            return int(cost / TIE_TOKENS), -weighted_rendezvous(affinity, engine.worker_id, weight)
+            return int(cost / COST_TIE_TOKENS), -weighted_rendezvous(
+                affinity, engine.worker_id, weight
+            )
 
         return sorted(usable, key=order)
 
     def unread_tokens(self, worker_id: str, prompt: PromptShape) -> int:
-        """Return the tokens of a prompt that an engine is believed not to keep."""
+        """Return the number of tokens of a prompt that an engine probably has not cached."""
         memory = self._memories.get(worker_id)
         kept = memory.cached_tokens(prompt.shared_parts) if memory is not None else 0
         return max(0, prompt.whole_tokens - kept)
 
     def sent(self, worker_id: str, capacity: int, parts: Iterable[PrefixPart], now: float) -> None:
-        """Remember that an engine reads these shared parts."""
+        """Record that these shared parts were sent to an engine; ``capacity`` is in tokens."""
         memory = self._memories.get(worker_id)
         if memory is None:
             memory = self._memories[worker_id] = PrefixMemory(capacity)
         memory.touch(parts, now)
 
     def forget_all_but(self, worker_ids: Collection[str]) -> None:
-        """Drop the memory of engines that are no longer listed."""
+        """Remove the prefix caches of engines that are no longer listed."""
         for worker_id in list(self._memories):
             if worker_id not in worker_ids:
                 del self._memories[worker_id]
@@ -164,26 +167,26 @@
         if question.reading is not None:
             reading = question.reading.get(engine.worker_id, 0)
         unread = self.unread_tokens(engine.worker_id, question.prompt)
-        cost = reading + unread + CALL_TOKENS * calls
+        cost = reading + unread + IN_FLIGHT_CALL_COST_TOKENS * calls
         if calls:
-            # Guards the streams that are written there: what was read in a row by two or three
-            # prompts made a tenth of the most urgent route's streams late, beside idle engines.
-            cost += DISTURBANCE_FACTOR * max(0.0, reading + unread - question.calm_tokens)
+            # Protects the engine's streams: two or three prompts read in a row made a tenth of
+            # the most urgent route's streams late while other engines were idle.
+            cost += STREAM_DELAY_COST_FACTOR * max(0.0, reading + unread - question.calm_tokens)
         if kept:
-            cost += READ_AGAIN_FACTOR * self._kept_elsewhere(engine, kept, now)
-        cost += FAILURE_TOKENS * statistics.recent_failures(now)
+            cost += REREAD_COST_FACTOR * self._reread_tokens(engine, kept, now)
+        cost += FAILURE_COST_TOKENS * statistics.recent_failures(now)
         if statistics.avoid_until > now:
-            cost += FAILURE_TOKENS
-        cost += EXCESS_TOKENS * statistics.excess
+            cost += FAILURE_COST_TOKENS
+        cost += EXCESS_FAILURE_COST_TOKENS * statistics.excess
         if statistics.set_aside(repeatable=question.repeatable):
-            cost += EJECTED_TOKENS
+            cost += EJECTION_COST_TOKENS
         return cost + question.penalties.get(engine.worker_id, 0.0)
 
-    def _kept_somewhere(
+    def _recently_read_parts(
         self, engines: Iterable[WorkerRecord], prompt: PromptShape, now: float
     ) -> tuple[PrefixPart, ...]:
-        """Return the shared parts that any of the engines has read lately."""
-        since = now - KEPT_ELSEWHERE_SECONDS
+        """Return the shared parts that any of the engines has read recently."""
+        since = now - CACHED_ELSEWHERE_SECONDS
         found = (self._memories.get(engine.worker_id) for engine in engines)
         memories = [memory for memory in found if memory is not None]
         return tuple(
@@ -192,17 +195,17 @@
             if any(memory.used_since(part.part_id, since) for memory in memories)
         )
 
-    def _kept_elsewhere(self, engine: WorkerRecord, kept: Sequence[PrefixPart], now: float) -> int:
-        """Return the tokens that this engine would read again after another one did."""
-        since = now - KEPT_ELSEWHERE_SECONDS
+    def _reread_tokens(self, engine: WorkerRecord, kept: Sequence[PrefixPart], now: float) -> int:
+        """Return the tokens that another engine has cached and this one would read again."""
+        since = now - CACHED_ELSEWHERE_SECONDS
         own = self._memories.get(engine.worker_id)
         return sum(
             part.tokens for part in kept if own is None or not own.used_since(part.part_id, since)
         )
 
 
-def _affinity(prompt: PromptShape) -> str:
-    """Return the last shared part, which a session's prompts have in common."""
+def _affinity_key(prompt: PromptShape) -> str:
+    """Return the id of the last shared part, which all prompts of a session have in common."""
     if not prompt.parts:
         return ""
     return prompt.parts[max(0, len(prompt.parts) - 2)].part_id
--- a/src/corkcrank/scheduling/fetch_delay.py
+++ b/src/corkcrank/scheduling/fetch_delay.py
@@ -1,27 +1,27 @@
-"""When the results that an engine reads may be freed.
+"""Delay after which the stage results that an engine fetches may be freed.
 
 An engine fetches a call's results before it reads the prompt, well before its first event.
-Room at stage workers is scarce, so results are freed a short while after the call was sent.
-An engine that missed a result doubles the while; each good call shortens it again.
+Result memory at stage workers is scarce, so results are freed a short delay after the call was
+sent. The delay doubles when an engine misses a result and shrinks with each call that finds all.
 """
 
 from dataclasses import dataclass
 
-FIRST_DELAY_SECONDS = 0.06
-"""Delay before anything was learned: several round trips."""
+INITIAL_DELAY_SECONDS = 0.06
+"""Delay before the first observation, and its minimum: several round trips."""
 
-LONGEST_DELAY_SECONDS = 2.0
-"""Beyond this the first event is waited for in any case."""
+MAX_DELAY_SECONDS = 2.0
+"""Upper bound of the delay; past it, results are kept until the first event anyway."""
 
-SHRINK = 0.98
-"""Factor of the delay after a call that found all its results."""
+SUCCESS_DECAY_FACTOR = 0.98
+"""Factor that shortens the delay after a call that found all its results."""
 
 
 @dataclass(slots=True)
 class FetchDelay:
     """The delay for one engine service, in seconds."""
 
-    seconds: float = FIRST_DELAY_SECONDS
+    seconds: float = INITIAL_DELAY_SECONDS
 
     def missed(self) -> None:
         """Double the delay after an engine missed a result.
@@ -29,8 +29,8 @@
         >>> delay = FetchDelay(); delay.missed(); delay.seconds
         0.12
         """
-        self.seconds = min(LONGEST_DELAY_SECONDS, 2.0 * self.seconds)
+        self.seconds = min(MAX_DELAY_SECONDS, 2.0 * self.seconds)
 
     def found(self) -> None:
-        """Shorten the delay a little."""
-        self.seconds = max(FIRST_DELAY_SECONDS, SHRINK * self.seconds)
+        """Shorten the delay after a call that found all its results."""
+        self.seconds = max(INITIAL_DELAY_SECONDS, SUCCESS_DECAY_FACTOR * self.seconds)
--- a/src/corkcrank/scheduling/forecast_bias.py
+++ b/src/corkcrank/scheduling/forecast_bias.py
@@ -1,10 +1,10 @@
-"""How far the forecasts of a route's stages were off lately, as the whole fleet measured.
+"""Correction of stage forecasts by route, from the recent forecast errors of the whole fleet.
 
-Stated capacities do not know slow workers, lost owners or results that hold room for
-longer than usual. The measured time over the forecast one corrects the next forecasts, and
-the scatter of calls about it tells how sure a corrected forecast is. One gateway of many sees
-too few calls to learn from, so each tells the others what it measured. A correction fades by
-itself: a route whose calls are all refused measures nothing.
+Configured capacities don't account for slow workers, unreachable owners or results that occupy
+memory for longer than usual. The ratio of measured to forecast time corrects later forecasts, and
+the scatter of calls around it gives the uncertainty of a corrected forecast. One gateway of many
+sees too few calls, so gateways report their measurements to each other. A correction decays
+exponentially, because a route whose calls are all refused produces no new measurements.
 """
 
 import math
@@ -13,35 +13,35 @@
 
 import msgspec
 
-FADE_SECONDS = 2.5
-"""Time constant by which a measurement loses its weight."""
+DECAY_SECONDS = 2.5
+"""Time constant of the exponential decay of a measurement's weight."""
 
 PRIOR_WEIGHT = 3.0
-"""Weight of the belief that a forecast is right, in new measurements."""
+"""Weight of the prior (the forecast is right), in number of new measurements."""
 
 PRIOR_VARIANCE = 1.0 / 12.0
-"""Variance of a ratio before anything was measured: a piece comes at any moment of a worker's
-call, which is as long as its own, so its wait is uniform over one such call."""
+"""Variance of a ratio before the first measurement: a piece arrives at any point of a worker's
+running call, which is as long as its own, so its wait is uniform over one such call."""
 
 RATIO_BOUNDS = (0.7, 3.0)
 """Bounds of one measured ratio."""
 
-FAILED_RATIO = 1.5
-"""Least ratio that a call counts as whose stages could not be finished."""
+MIN_FAILED_RATIO = 1.5
+"""Minimum ratio recorded for a call whose stages did not complete."""
 
-LEAST_WEIGHT = 0.05
-"""Weight below which a route's measurements are forgotten."""
+MIN_WEIGHT = 0.05
+"""Weight below which a route's measurements are removed."""
 
-UNIT = 100
-"""Weights and totals are told in hundredths."""
+WIRE_SCALE = 100
+"""Weights and totals are reported in hundredths."""
 
 
 class ForecastRatio(msgspec.Struct, frozen=True, array_like=True):
-    """A gateway's own measurements of a route, faded to the moment of telling.
+    """A gateway's local measurements of a route, decayed to the time of the report.
 
-    ``weight`` is their number, ``total`` the sum of their ratios and ``scatter`` that of their
+    ``weight`` is their number, ``total`` the sum of their ratios and ``scatter`` the sum of their
     squared errors in seconds for each second of forecast, all in hundredths. Older versions
-    tell no scatter.
+    report no scatter.
     """
 
     route: str
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ForecastCorrection:
-    """How far a route's forecasts were off lately, and how far calls strayed from that.
+    """Recent mean error of a route's forecasts, and the scatter of calls around that mean.
 
     ``factor`` is the mean of measured time over forecast time. ``scatter`` is the mean squared
-    error of corrected forecasts for each second of forecast; ``prior_share`` is the weight of
-    what is believed before anything was measured.
+    error of corrected forecasts for each second of forecast. ``prior_share`` is the share of the
+    prior in both, from 0 to 1.
     """
 
     factor: float = 1.0
@@ -64,10 +64,10 @@
     prior_share: float = 1.0
 
     def spread_seconds(self, forecast: float) -> float:
-        """Return the standard deviation of the time that a forecast of so many seconds becomes.
+        """Return the standard deviation in seconds of a call with this forecast in seconds.
 
-        A chain is a sum of waits and calls, so its variance grows with its length, and not its
-        standard deviation.
+        A chain is a sum of waits and calls, so its variance, not its standard deviation, grows
+        in proportion to its length.
 
         >>> round(ForecastCorrection().spread_seconds(1.0), 2)
         0.29
@@ -83,27 +83,27 @@
     scatter: float = 0.0
     at: float = 0.0
 
-    def faded(self, now: float) -> "_Measurements":
-        fade = math.exp(-max(0.0, now - self.at) / FADE_SECONDS)
-        return _Measurements(self.weight * fade, self.total * fade, self.scatter * fade, now)
+    def decayed(self, now: float) -> "_Measurements":
+        decay = math.exp(-max(0.0, now - self.at) / DECAY_SECONDS)
+        return _Measurements(self.weight * decay, self.total * decay, self.scatter * decay, now)
 
     def add(self, ratio: float, scatter: float, now: float) -> None:
-        faded = self.faded(now)
-        self.weight = faded.weight + 1.0
-        self.total = faded.total + ratio
-        self.scatter = faded.scatter + scatter
+        decayed = self.decayed(now)
+        self.weight = decayed.weight + 1.0
+        self.total = decayed.total + ratio
+        self.scatter = decayed.scatter + scatter
         self.at = now
 
 
 class ForecastBias:
-    """The correction of each route."""
+    """Forecast corrections by route, from local measurements and those of peers."""
 
     def __init__(self) -> None:
-        self._own: dict[str, _Measurements] = {}
+        self._local: dict[str, _Measurements] = {}
         self._peers: dict[str, dict[str, _Measurements]] = {}
 
     def learn(self, route: str, forecast: float, measured: float, now: float) -> None:
-        """Take how long the stages of a call took and had been forecast to take.
+        """Record the measured and the forecast seconds of a call's stages.
 
         >>> bias = ForecastBias()
         >>> for _ in range(30): bias.learn("r", 1.0, 2.0, 0.0)
@@ -115,26 +115,26 @@
         low, high = RATIO_BOUNDS
         ratio = min(high, max(low, measured / forecast))
         error = forecast * (ratio - self.of(route, now).factor)
-        self._own.setdefault(route, _Measurements()).add(ratio, error * error / forecast, now)
+        self._local.setdefault(route, _Measurements()).add(ratio, error * error / forecast, now)
 
     def learn_failure(self, route: str, forecast: float, spent: float, now: float) -> None:
-        """Take a call whose stages could not be finished after ``spent`` seconds."""
-        self.learn(route, forecast, max(spent, FAILED_RATIO * forecast), now)
+        """Record a call whose stages did not complete, after ``spent`` seconds."""
+        self.learn(route, forecast, max(spent, MIN_FAILED_RATIO * forecast), now)
 
     def reported(self, now: float) -> tuple[ForecastRatio, ...]:
-        """Return the own measurements as the other gateways are told."""
+        """Return the local measurements to report to other gateways; removes negligible ones."""
         ratios = []
-        for route, own in list(self._own.items()):
-            faded = own.faded(now)
-            if faded.weight < LEAST_WEIGHT:
-                del self._own[route]
+        for route, own in list(self._local.items()):
+            decayed = own.decayed(now)
+            if decayed.weight < MIN_WEIGHT:
+                del self._local[route]
                 continue
-            sums = (faded.weight, faded.total, faded.scatter)
-            ratios.append(ForecastRatio(route, *(round(item * UNIT) for item in sums)))
+            sums = (decayed.weight, decayed.total, decayed.scatter)
+            ratios.append(ForecastRatio(route, *(round(item * WIRE_SCALE) for item in sums)))
         return tuple(ratios)
 
     def take(self, peer: str, ratios: Iterable[ForecastRatio], now: float) -> None:
-        """Replace what a peer told before.
+        """Replace the measurements that a peer reported before.
 
         >>> one, two = ForecastBias(), ForecastBias()
         >>> for _ in range(9): one.learn("r", 1.0, 3.0, 0.0)
@@ -142,26 +142,31 @@
         >>> round(two.of("r", 0.1).factor, 1), two.of("other", 0.1).factor
         (2.5, 1.0)
         """
-        self._peers[peer] = {item.route: _taken(item, now) for item in ratios}
+        self._peers[peer] = {item.route: _decode_ratio(item, now) for item in ratios}
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that is silent."""
+        """Remove the measurements of a peer that stopped reporting."""
         self._peers.pop(peer, None)
 
     def of(self, route: str, now: float) -> ForecastCorrection:
         """Return the correction of a route's forecasts."""
         weight = total = PRIOR_WEIGHT
         scatter = 0.0
-        known = [self._own.get(route), *(told.get(route) for told in self._peers.values())]
+        known = [
+            self._local.get(route),
+            *(reported.get(route) for reported in self._peers.values()),
+        ]
         for item in known:
             if item is not None:
-                faded = item.faded(now)
-                weight += faded.weight
-                total += faded.total
-                scatter += faded.scatter
+                decayed = item.decayed(now)
+                weight += decayed.weight
+                total += decayed.total
+                scatter += decayed.scatter
         return ForecastCorrection(total / weight, scatter / weight, PRIOR_WEIGHT / weight)
 
 
-def _taken(told: ForecastRatio, now: float) -> _Measurements:
-    """Return what a peer has just told."""
-    return _Measurements(told.weight / UNIT, told.total / UNIT, told.scatter / UNIT, now)
+def _decode_ratio(ratio: ForecastRatio, now: float) -> _Measurements:
+    """Decode measurements that a peer reported just now."""
+    return _Measurements(
+        ratio.weight / WIRE_SCALE, ratio.total / WIRE_SCALE, ratio.scatter / WIRE_SCALE, now
+    )
--- a/src/corkcrank/scheduling/prefill_grants.py
+++ b/src/corkcrank/scheduling/prefill_grants.py
@@ -1,9 +1,9 @@
-"""Which engine of a zone reads the next prompt, decided by one gateway for all.
+"""Grants of a zone's engines to prompts, decided by one gateway for all gateways.
 
-A prompt is read within some hundred milliseconds, less than news travels between gateways,
-so gateways that choose by each other's news send prompts to one engine at the same time:
-they wait for each other, and every stream that the engine writes pauses meanwhile. The
-owner of a zone's engines knows each prompt from its grant until its first event.
+A prompt is read within some hundred milliseconds, which is less than an update takes to reach
+the other gateways. Gateways that chose by each other's reports would therefore send prompts to
+one engine at the same time: the prompts queue, and every stream of that engine pauses meanwhile.
+The owner of a zone's engines tracks each prompt from its grant until its first event.
 """
 
 from collections import Counter
@@ -14,27 +14,27 @@
 from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-LONGEST_PREFILL_SECONDS = 2.0
-"""A prompt counts as read after this time, if its end was not told."""
+MAX_PREFILL_SECONDS = 2.0
+"""A prompt counts as read after this time if its completion was not reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Grant:
-    """A prompt's engine, its unread tokens and those that were to be read before them."""
+    """The engine of a prompt, its unread tokens and the tokens queued ahead of them."""
 
     worker_id: str
     tokens: int
-    ahead: int
+    tokens_ahead: int
     granted_at: float
 
     @property
-    def ends_at(self) -> float:
-        """Return when the prompt counts as read, whatever is told."""
-        return self.granted_at + LONGEST_PREFILL_SECONDS
+    def expires_at(self) -> float:
+        """Return the time at which the prompt counts as read without a report."""
+        return self.granted_at + MAX_PREFILL_SECONDS
 
 
 class PrefillGrants:
-    """The prompts that were granted an engine and are not known to be read."""
+    """Prompts that were granted an engine and are not yet reported as read."""
 
     def __init__(self, chooser: EngineChooser, worker_statistics: WorkerStatisticsTable) -> None:
         self._chooser = chooser
@@ -49,9 +49,9 @@
         capacity: int,
         now: float,
     ) -> WorkerRecord | None:
-        """Return the engine that reads a call's prompt next, or ``None`` if there is none.
+        """Grant an engine to a call's prompt and return it, or ``None`` if no engine is usable.
 
-        ``capacity`` is the engines' prompt cache in tokens.
+        ``capacity`` is the size of each engine's prefix cache in tokens.
         """
         self.done(call_id)
         reading = self.reading(now)
@@ -67,17 +67,17 @@
         return engine
 
     def done(self, call_id: str) -> tuple[int, float] | None:
-        """Note that a prompt was read, or will not be.
+        """Remove the grant of a prompt that was read, or that will not be read.
 
-        Return the tokens that its engine had to read until then and the time of the grant,
-        ``None`` for a prompt without a grant.
+        Returns the number of tokens that its engine had to read by then and the time of the
+        grant, or ``None`` for a prompt without a grant.
         """
         grant = self._grants.pop(call_id, None)
-        return None if grant is None else (grant.ahead + grant.tokens, grant.granted_at)
+        return None if grant is None else (grant.tokens_ahead + grant.tokens, grant.granted_at)
 
     def reading(self, now: float) -> Mapping[str, int]:
-        """Return the tokens being read by engine; drops grants that took too long."""
-        for call_id in [key for key, grant in self._grants.items() if grant.ends_at <= now]:
+        """Return the tokens being read, by engine id; removes expired grants."""
+        for call_id in [key for key, grant in self._grants.items() if grant.expires_at <= now]:
             del self._grants[call_id]
         reading: Counter[str] = Counter()
         for grant in self._grants.values():
--- a/src/corkcrank/scheduling/prefill_isolation.py
+++ b/src/corkcrank/scheduling/prefill_isolation.py
@@ -1,8 +1,8 @@
-"""Keeps long prompts off the engines that write short prompts' streams.
+"""Separation of long prompts from the engines that serve short ones.
 
-Every token of what runs beside a long prompt is held up while it is read, and a pause
-makes a stream late. In each zone about half of the engines read the long prompts; routes
-are told apart by the prompts that they sent, measured here.
+While an engine reads a long prompt, all of its streams are delayed, and a pause makes a stream
+late. About half of the engines in each zone therefore read the long prompts. A route counts as
+long or short by the measured size of its prompts.
 """
 
 from collections.abc import Sequence
@@ -10,36 +10,36 @@
 from corkcrank.contracts.rendezvous import rendezvous_weight
 from corkcrank.contracts.worker_records import WorkerRecord
 
-SIZE_WEIGHT = 0.05
-"""Weight of the newest prompt in a route's mean size."""
+SAMPLE_WEIGHT = 0.05
+"""Weight of the newest prompt in the moving averages of prompt sizes."""
 
-LONG_FACTOR = 1.8
-"""A route is long if its mean prompt is this multiple of the mean over all calls."""
+LONG_PROMPT_FACTOR = 1.8
+"""A route is long if its mean prompt size exceeds this multiple of the mean over all calls."""
 
-OTHER_SIDE_TOKENS = 12_000.0
-"""Prompt tokens that count against an engine of the other side."""
+OTHER_GROUP_PENALTY_TOKENS = 12_000.0
+"""Penalty of an engine in the group for the other prompt length, in prompt tokens."""
 
-MOST_KNOWN_LISTS = 64
-"""Lists of engines whose parting is kept, by service and zone."""
+MAX_CACHED_LISTS = 64
+"""Size of the cache of partitioned engine lists; a list belongs to a service and a zone."""
 
 
 class PromptSizes:
-    """Mean prompt sizes by route and over all calls, in tokens."""
+    """Moving averages of prompt sizes by route and over all calls, in tokens."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
         self._overall = 0.0
 
     def learn(self, route: str, tokens: int) -> None:
-        """Take the size of one prompt."""
+        """Update the averages with the size of one prompt."""
         known = self._means.get(route, float(tokens))
-        self._means[route] = known + SIZE_WEIGHT * (tokens - known)
+        self._means[route] = known + SAMPLE_WEIGHT * (tokens - known)
         if not self._overall:
             self._overall = float(tokens)
-        self._overall += SIZE_WEIGHT * (tokens - self._overall)
+        self._overall += SAMPLE_WEIGHT * (tokens - self._overall)
 
     def is_long(self, route: str) -> bool:
-        """Return whether a route's prompts are long beside those of the others.
+        """Return whether a route's prompts are long compared with all calls.
 
         >>> sizes = PromptSizes()
         >>> for _ in range(50): sizes.learn("long", 9000); sizes.learn("short", 700)
@@ -48,13 +48,14 @@
         """
         if len(self._means) < 2:
             return False
-        return self._means.get(route, 0.0) > LONG_FACTOR * self._overall
+        return self._means.get(route, 0.0) > LONG_PROMPT_FACTOR * self._overall
 
 
 def long_prompt_engines(engines: Sequence[WorkerRecord]) -> frozenset[str]:
-    """Return the engines that read long prompts, by id; empty if none can be spared.
+    """Return the ids of the engines that read long prompts; empty if that would be all engines.
 
-    The larger half of each zone: stage results lie in every zone, and so must they.
+    The larger half of each zone is chosen: every zone holds stage results, so every zone needs
+    such an engine.
     """
     by_zone: dict[str, list[WorkerRecord]] = {}
     for engine in engines:
@@ -69,28 +70,28 @@
 
 
 class PrefillIsolation:
-    """Keeps which engines read long prompts for as long as the list of engines is the same."""
+    """Assigns engines to long or short prompts and caches the result by list of engines."""
 
     def __init__(self) -> None:
         self._known: dict[int, tuple[tuple[WorkerRecord, ...], frozenset[str]]] = {}
 
     def penalties(self, engines: tuple[WorkerRecord, ...], *, long: bool) -> dict[str, float]:
-        """Return the tokens that count against engines of the other side, by id."""
+        """Return the penalty in tokens, by id, of engines for the other prompt length."""
         readers = self._long_prompt_engines(engines)
         if not readers:
             return {}
         return {
-            engine.worker_id: OTHER_SIDE_TOKENS
+            engine.worker_id: OTHER_GROUP_PENALTY_TOKENS
             for engine in engines
             if (engine.worker_id in readers) != long
         }
 
     def _long_prompt_engines(self, engines: tuple[WorkerRecord, ...]) -> frozenset[str]:
-        # The tuple itself is kept beside the answer, so its identity is not given away.
+        # The cache holds the tuple itself, so that its id() is not reused while the entry exists.
         known = self._known.get(id(engines))
         if known is not None and known[0] is engines:
             return known[1]
-        if len(self._known) >= MOST_KNOWN_LISTS:
+        if len(self._known) >= MAX_CACHED_LISTS:
             self._known.clear()
         readers = long_prompt_engines(engines)
         self._known[id(engines)] = engines, readers
--- a/src/corkcrank/scheduling/prefill_pace.py
+++ b/src/corkcrank/scheduling/prefill_pace.py
@@ -1,36 +1,36 @@
-"""How fast a service's engines read prompts, and how much one may read in a row.
+"""Measured prefill throughput of a service's engines, and how much one may read in a row.
 
-An engine reads prompts in parts between the tokens of its streams. Each event holds several
-tokens, so that the pause before it grows with what is read in a row; once that takes as long as
-the pause that callers bear, every stream of the engine is late.
+An engine reads prompts in chunks between the decode steps of its streams. Each stream event holds
+several tokens, so the pause before an event grows with the number of prompt tokens read in a row.
+When the pause reaches the longest one that callers accept, every stream of the engine is late.
 """
 
 from corkcrank.contracts.opaque_configuration import OpaqueConfiguration
 
-FIRST_TOKENS_A_SECOND = 20_000.0
-"""Pace assumed before one was measured."""
+INITIAL_TOKENS_PER_SECOND = 20_000.0
+"""Throughput assumed before the first measurement."""
 
 SAMPLE_WEIGHT = 0.05
-"""Weight of the newest prompt in the pace."""
+"""Weight of the newest prompt in the moving averages."""
 
-LEAST_SAMPLE_TOKENS = 2_000
-"""Shorter prompts tell nothing: the way to the engine takes as long as to read them."""
+MIN_SAMPLE_TOKENS = 2_000
+"""Shorter prompts are ignored: the network takes as long as reading them."""
 
-CALM_SHARE = 0.8
-"""Part of the longest pause for which an engine may read: steps without a prompt and what is sent
-to it by others come on top."""
+MAX_PAUSE_SHARE = 0.8
+"""Share of the longest accepted pause that an engine may spend reading: steps without a prompt and
+prompts from other gateways add to the pause."""
 
 
 class PrefillPace:
-    """Prompt tokens that engines read a second, by service."""
+    """Prefill throughput in prompt tokens a second, by service."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, float] = {}
         self._seconds: dict[str, float] = {}
 
     def learn(self, service: str, tokens: float, seconds: float) -> None:
-        """Take that an engine read so many tokens, with what was before them, in a time."""
-        if tokens < LEAST_SAMPLE_TOKENS or seconds <= 0:
+        """Update the averages: an engine read ``tokens``, queued ones included, in ``seconds``."""
+        if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
         known_tokens = self._tokens.get(service, tokens)
         known_seconds = self._seconds.get(service, seconds)
@@ -38,7 +38,7 @@
         self._seconds[service] = known_seconds + SAMPLE_WEIGHT * (seconds - known_seconds)
 
     def tokens_a_second(self, service: str) -> float:
-        """Return the pace of a service's engines.
+        """Return the prefill throughput of a service's engines.
 
         >>> pace = PrefillPace()
         >>> pace.learn("llm", 6_000, 0.2); pace.learn("llm", 100, 5.0)
@@ -46,19 +46,19 @@
         (30000.0, 20000.0)
         """
         if service not in self._tokens:
-            return FIRST_TOKENS_A_SECOND
+            return INITIAL_TOKENS_PER_SECOND
         return self._tokens[service] / self._seconds[service]
 
     def calm_tokens(self, service: str, longest_pause: float | None) -> float:
-        """Return how much an engine may read in a row before its streams are late.
+        """Return the number of tokens that an engine may read in a row without late streams.
 
-        ``longest_pause`` is in seconds; without one nothing is late for a pause.
+        ``longest_pause`` is in seconds; ``None`` means that no pause makes a stream late.
         """
         if longest_pause is None:
             return float("inf")
-        return CALM_SHARE * longest_pause * self.tokens_a_second(service)
+        return MAX_PAUSE_SHARE * longest_pause * self.tokens_a_second(service)
 
     def calm_tokens_under(self, configuration: OpaqueConfiguration | None, service: str) -> float:
-        """Return the same for the pauses that the routes of a configuration state."""
+        """Return the same limit for the shortest pause that the configured routes set."""
         pause = configuration.shortest_pause(service) if configuration is not None else None
         return self.calm_tokens(service, pause)
--- a/src/corkcrank/scheduling/recent_prefixes.py
+++ b/src/corkcrank/scheduling/recent_prefixes.py
@@ -1,6 +1,6 @@
-"""Prefixes sent lately, as told to the other gateways.
+"""Prompt prefixes that this gateway sent to engines recently, for reports to other gateways.
 
-Each is told in several heartbeats, since datagrams are lost now and then.
+Each prefix is repeated in several heartbeats, because datagrams are sometimes lost.
 """
 
 from collections import deque
@@ -8,30 +8,30 @@
 from corkcrank.contracts.opaque_call import PromptShape
 from corkcrank.machines.heartbeat import SentPrefix
 
-TOLD_SECONDS = 0.8
-"""Shortest time for which a prefix is told."""
+MIN_REPORT_SECONDS = 0.8
+"""Minimum time for which a prefix is reported."""
 
-TOLD_INTERVALS = 1.2
-"""Intervals between heartbeats for which it is told at least, so that each member hears it."""
+MIN_REPORT_INTERVALS = 1.2
+"""Minimum number of heartbeat intervals to report a prefix for, so that each member gets it."""
 
-MOST_TOLD = 48
-"""Prefixes that one heartbeat tells at most, the newest."""
+MAX_REPORTED_PREFIXES = 48
+"""Maximum number of prefixes in one heartbeat; the newest are sent."""
 
 
 class RecentPrefixes:
-    """What this gateway sent to engines in the last moments."""
+    """Prefixes that this gateway sent to engines recently."""
 
     def __init__(self) -> None:
-        self._sent: deque[tuple[float, SentPrefix]] = deque(maxlen=MOST_TOLD)
+        self._sent: deque[tuple[float, SentPrefix]] = deque(maxlen=MAX_REPORTED_PREFIXES)
 
     def add(self, worker_id: str, prompt: PromptShape, now: float) -> None:
-        """Note a prompt that was sent to an engine."""
+        """Record a prompt that was sent to an engine."""
         parts = tuple((part.part_id, part.tokens) for part in prompt.shared_parts)
         if parts:
             self._sent.append((now, SentPrefix(worker_id, parts)))
 
     def current(self, now: float, interval: float) -> tuple[SentPrefix, ...]:
-        """Return what is to be told now; heartbeats go to each member every ``interval``.
+        """Return the prefixes to report now; ``interval`` is the heartbeat interval in seconds.
 
         >>> from corkcrank.contracts.opaque_call import PrefixPart
         >>> recent = RecentPrefixes()
@@ -39,7 +39,7 @@
         >>> len(recent.current(1.5, interval=2.0)), len(recent.current(1.5, interval=0.25))
         (1, 0)
         """
-        told_seconds = max(TOLD_SECONDS, TOLD_INTERVALS * interval)
-        while self._sent and now - self._sent[0][0] > told_seconds:
+        report_seconds = max(MIN_REPORT_SECONDS, MIN_REPORT_INTERVALS * interval)
+        while self._sent and now - self._sent[0][0] > report_seconds:
             self._sent.popleft()
         return tuple(item for _, item in self._sent)
--- a/src/corkcrank/scheduling/return_times.py
+++ b/src/corkcrank/scheduling/return_times.py
@@ -1,23 +1,23 @@
-"""When callers that limited workers had no place for are told to come back.
+"""Retry times for callers that were refused because rate-limited workers had no free slot.
 
-Each is told the next place that nobody was told before, so that those who come back at their times
-do not meet each other. Pure: the time is handed in.
+Each caller gets the next slot that no earlier caller got, so that callers who retry at the
+reported times do not collide. The functions read no clock: the time is an argument.
 """
 
-LONGEST_RETURN_SECONDS = 5.0
-"""Longest time that is told: callers honour a third of the time that they have left."""
+MAX_RETURN_SECONDS = 5.0
+"""Maximum retry time: callers wait at most a third of the time that they have left."""
 
 
 class ReturnTimes:
-    """The next place by group of workers, as told to callers."""
+    """The next unassigned slot of each group of workers."""
 
     def __init__(self) -> None:
         self._next: dict[str, float] = {}
 
     def next(self, key: str, wait: float, rate: float, now: float) -> float:
-        """Return in how many seconds a caller should come back.
+        """Assign the next slot to a caller and return the seconds until then.
 
-        ``wait`` is when the group next has a place, ``rate`` how many it has a second.
+        ``wait`` is the time in seconds until the group's next slot, ``rate`` its slots a second.
 
         >>> times = ReturnTimes()
         >>> [times.next("g", 0.5, 2.0, now=10.0) for _ in range(3)]
@@ -26,7 +26,7 @@
         (0.5, 5.0)
         """
         at = max(now + wait, self._next.get(key, 0.0))
-        if rate <= 0 or at - now >= LONGEST_RETURN_SECONDS:
-            return LONGEST_RETURN_SECONDS
+        if rate <= 0 or at - now >= MAX_RETURN_SECONDS:
+            return MAX_RETURN_SECONDS
         self._next[key] = at + 1.0 / rate
         return at - now
--- a/src/corkcrank/scheduling/stage_plan.py
+++ b/src/corkcrank/scheduling/stage_plan.py
@@ -1,23 +1,23 @@
-"""Progress of one call through its stage graph: what may start, what may be freed.
+"""Progress of one call through its stage graph: which stages may start, which results to free.
 
-A stage is made of pieces. Every piece of a stage reads every result of the stages listed
-in ``after``; the call itself reads the results of the stages that no other stage reads.
+A stage consists of pieces, its smallest units of work. Every piece of a stage reads every result
+of the stages listed in ``after``. The call itself reads the results that no other stage reads.
 """
 
 from collections.abc import Sequence
 
 from corkcrank.contracts.opaque_configuration import StageDefinition
 
-LEAD_STAGES = 1
-"""A branch starts when the longest other branch is at most this many stages longer.
+MAX_LEAD_STAGES = 1
+"""A branch starts when the longest remaining branch is at most this many stages longer.
 
-Results hold scarce room at the worker that made them, so a short branch started with a
-long one would hold its room while the long one works.
+Results occupy scarce memory at the worker that produced them. A short branch that started together
+with a long one would occupy its memory while the long one runs.
 """
 
 
 class StagePlan:
-    """The stages of one call; times and workers are others' business."""
+    """The stages of one call and their results; times and workers are handled elsewhere."""
 
     def __init__(self, stages: Sequence[StageDefinition], counts: Sequence[int]) -> None:
         self._stages = tuple(stages)
@@ -45,15 +45,15 @@
 
     @property
     def any_work(self) -> bool:
-        """Return whether any piece has to be made at all."""
+        """Return whether any stage has pieces to run."""
         return any(self.counts)
 
     def unfinished(self) -> list[int]:
-        """Return the stages that have no results yet, in order."""
+        """Return the indexes of the stages without results, in order."""
         return [number for number in range(len(self._stages)) if number not in self._handles]
 
     def ready(self) -> list[int]:
-        """Return the stages to start now.
+        """Return the indexes of the stages to start now.
 
         >>> chain = (StageDefinition("a"), StageDefinition("b"), StageDefinition("c", (1,)),
         ...     StageDefinition("d", (2,)))
@@ -70,27 +70,27 @@
         return [
             number
             for number in waiting
-            if self._inputs_done(number) and self._depths[number] + LEAD_STAGES >= longest
+            if self._inputs_done(number) and self._depths[number] + MAX_LEAD_STAGES >= longest
         ]
 
     def leading(self, stages: Sequence[int]) -> int:
-        """Return the stage among some that the most others wait for, one after the other."""
+        """Return the one of some stages with the longest chain of dependent stages."""
         return max(stages, key=lambda number: self._depths[number])
 
     def not_started(self) -> list[int]:
-        """Return the stages whose pieces were not asked for yet, in order."""
+        """Return the indexes of the unfinished stages that were not started, in order."""
         return [number for number in self.unfinished() if number not in self._started]
 
     def start(self, stage: int) -> None:
-        """Note that the pieces of a stage were asked for."""
+        """Record that the pieces of a stage were requested."""
         self._started.add(stage)
 
     def finish(self, stage: int, handles: Sequence[str]) -> None:
-        """Take the results of a stage, in the order of its pieces."""
+        """Record the result handles of a stage, in the order of its pieces."""
         self._handles[stage] = tuple(handles)
 
     def redo_all(self) -> None:
-        """Forget every result: all stages with pieces are to be made again."""
+        """Remove every result, so that all stages with pieces are run again."""
         for number, count in enumerate(self.counts):
             if count:
                 self._handles.pop(number, None)
@@ -98,21 +98,21 @@
                 self._freed.discard(number)
 
     def inputs_of(self, stage: int) -> tuple[str, ...]:
-        """Return the results that every piece of a stage reads."""
+        """Return the handles of the results that every piece of a stage reads."""
         return tuple(
             handle for source in self._stages[stage].after for handle in self._handles[source]
         )
 
     def handles_of(self, stage: int) -> tuple[str, ...]:
-        """Return the results of a stage, none before it has ended."""
+        """Return the result handles of a stage; empty before it has ended."""
         return self._handles.get(stage, ())
 
     def readers(self, stage: int) -> list[int]:
-        """Return the stages that read this one's results; none means the call itself."""
+        """Return the stages that read a stage's results; empty if the call itself reads them."""
         return self._readers[stage]
 
     def final_handles(self) -> tuple[str, ...]:
-        """Return the results that the call itself reads."""
+        """Return the handles of the results that the call itself reads."""
         return tuple(
             handle
             for number in range(len(self._stages))
@@ -121,7 +121,7 @@
         )
 
     def release(self) -> list[str]:
-        """Return results whose last reader is done; each is returned once."""
+        """Return the handles of results whose last reader has ended, each handle once."""
         released: list[str] = []
         for number, handles in self._handles.items():
             readers = self._readers[number]
@@ -133,7 +133,7 @@
         return released
 
     def release_all(self) -> list[str]:
-        """Return every result not released yet, when the call is over."""
+        """Return the handles of all results not released yet, for use when the call has ended."""
         released = [
             handle
             for number, handles in self._handles.items()
--- a/src/corkcrank/scheduling/stream_times.py
+++ b/src/corkcrank/scheduling/stream_times.py
@@ -1,30 +1,30 @@
-"""How long a stream takes from its first event to its end, by route.
+"""Estimated time of a stream from its first event to its end, by route.
 
-A gateway that is stopping begins a stream only if it usually ends before the gateway does.
-Callers tell the most tokens that may come out, so the time is kept for each of these tokens.
+A stopping gateway starts a stream only if the stream usually ends before the gateway exits.
+Callers state the maximum number of output tokens, so the time is estimated per such token.
 
-The usual time, not an upper bound, is what serves callers: a stream that is likelier to end
-than not is worth beginning, since a caller sent away is served about as seldom while gateways
-restart in turn. No bound would hold anyway: one in a hundred takes nine times as long as usual.
+The estimate is the mean and not an upper bound: a stream that is more likely to end in time than
+not is worth starting, because during a rolling restart of gateways a refused caller is served
+about as seldom. No bound would hold anyway: one stream in a hundred takes nine times the usual.
 """
 
 from dataclasses import dataclass, field
 
-UNKNOWN_TOKEN_SECONDS = 0.01
-"""Seconds a token before any stream of a route has ended."""
+DEFAULT_TOKEN_SECONDS = 0.01
+"""Estimate per output token before the first stream of a route has ended."""
 
-NEWEST_WEIGHT = 0.15
-"""Weight of the newest stream in the mean."""
+SAMPLE_WEIGHT = 0.15
+"""Weight of the newest stream in the moving average."""
 
 
 @dataclass(slots=True)
 class StreamTimes:
-    """The usual time of streams, in seconds for each token that may come out."""
+    """Usual stream times by route, in seconds per maximum output token."""
 
     _token_seconds: dict[str, float] = field(default_factory=dict)
 
     def learn(self, route: str, tokens_out: int, seconds: float) -> None:
-        """Take the time that a whole stream took after its first event.
+        """Update the estimate with the time that a complete stream took after its first event.
 
         >>> times = StreamTimes()
         >>> times.learn("r", 100, 2.0); times.learn("r", 100, 1.0)
@@ -33,9 +33,9 @@
         """
         measured = seconds / max(1, tokens_out)
         known = self._token_seconds.get(route, measured)
-        self._token_seconds[route] = known + NEWEST_WEIGHT * (measured - known)
+        self._token_seconds[route] = known + SAMPLE_WEIGHT * (measured - known)
 
     def of(self, route: str, tokens_out: int) -> float:
-        """Return the seconds that a stream of a route usually takes after its first event."""
-        pace = self._token_seconds.get(route, UNKNOWN_TOKEN_SECONDS)
+        """Return the usual seconds from the first event of a route's stream to its end."""
+        pace = self._token_seconds.get(route, DEFAULT_TOKEN_SECONDS)
         return pace * max(1, tokens_out)
--- a/src/corkcrank/scheduling/zone_weights.py
+++ b/src/corkcrank/scheduling/zone_weights.py
@@ -1,7 +1,7 @@
-"""How much of a route's work each zone can carry, and each engine's part of it.
+"""Weights of engines by the stage capacity of their zones.
 
-Results that cross zones cost, so an engine gets calls as its own zone's stage workers can
-feed it, not as the engine alone could bear.
+Transfers of results between zones are expensive, so the share of calls that an engine gets follows
+the capacity of the stage workers in its zone, not only that of the engine.
 """
 
 from collections import Counter
@@ -9,8 +9,8 @@
 
 from corkcrank.contracts.worker_records import WorkerRecord
 
-LEAST_ZONE_SHARE = 0.02
-"""Share of a zone that lacks a stage; its engines are still a last resort."""
+MIN_ZONE_SHARE = 0.02
+"""Share of a zone without workers for some stage, so that its engines stay a last resort."""
 
 
 def engine_weights(
@@ -29,20 +29,22 @@
     if not shares:
         return {engine.worker_id: 1.0 for engine in engines}
     return {
-        engine.worker_id: max(LEAST_ZONE_SHARE, shares.get(engine.zone, 0.0))
+        engine.worker_id: max(MIN_ZONE_SHARE, shares.get(engine.zone, 0.0))
         / engines_in[engine.zone]
         for engine in engines
     }
 
 
 def _zone_shares(stages: Sequence[Sequence[WorkerRecord]]) -> Mapping[str, float]:
-    """Return each zone's share of the stage that it is weakest in."""
+    """Return each zone's share of the stage of which it has the smallest share."""
     shares: dict[str, float] = {}
     for number, workers in enumerate(stages):
         counts = Counter(worker.zone for worker in workers)
-        of_stage = {zone: count / len(workers) for zone, count in counts.items()}
+        stage_shares = {zone: count / len(workers) for zone, count in counts.items()}
         if number == 0:
-            shares = of_stage
+            shares = stage_shares
         else:
-            shares = {zone: min(share, of_stage.get(zone, 0.0)) for zone, share in shares.items()}
+            shares = {
+                zone: min(share, stage_shares.get(zone, 0.0)) for zone, share in shares.items()
+            }
     return shares
--- a/tests/scheduling/engine_play.py
+++ b/tests/scheduling/engine_play.py
@@ -1,8 +1,8 @@
-"""Plays callers' prompts against a zone's engines on a virtual clock, without a network.
+"""Simulation of callers' prompts at a zone's engines on a virtual clock, without a network.
 
-An owner grants the engine of each prompt by the real decisions. An engine reads prompts in parts
-between the tokens of its streams, several tokens an event, so that what it reads in a row makes
-the streams that it writes pause. A play repeats for a seed.
+An owner grants an engine to each prompt with the production code. A simulated engine reads prompts
+in chunks between the decode steps of its streams, and an event holds several tokens. Prompts that
+are read in a row therefore make its streams pause. A simulation is deterministic for a seed.
 """
 
 import heapq
@@ -24,30 +24,33 @@
 SERVICE = "llm"
 CACHE_TOKENS = 200_000
 CHUNK_TOKENS = 4_096
-TOKENS_A_SECOND = 32_400.0
+TOKENS_PER_SECOND = 32_400.0
 PAIR_SECONDS = 1.2e-9
-"""Time for each pair of a token that is read and one before it."""
+"""Attention time for each pair of a token that is read and an earlier token."""
 
 STEP_SECONDS = 0.006
 EVENT_TOKENS = 4
-WAY_SECONDS = 0.005
-BEAT_SECONDS = 0.9
-"""Time between two heartbeats, by which the owner hears how many calls each engine has."""
+NETWORK_DELAY_SECONDS = 0.005
+HEARTBEAT_SECONDS = 0.9
+"""Heartbeat interval: each one updates the owner's count of calls at each engine."""
 
-LONGEST_PAUSE = 0.6
+MAX_PAUSE_SECONDS = 0.6
 
 
 @dataclass(frozen=True)
 class Kind:
-    """Calls of one kind: so many a second, with shared parts (tokens, how many different)."""
+    """One kind of calls: ``rate`` is in calls a second, ``shared`` lists shared prompt parts.
+
+    Each shared part is a pair: its mean number of tokens, and how many different ones exist.
+    """
 
     name: str
     rate: float
     shared: tuple[tuple[float, int], ...]
     own_tokens: float
-    most_own_tokens: float
+    max_own_tokens: float
     events: float
-    most_events: float
+    max_events: float
     long: bool
 
 
@@ -58,13 +61,13 @@
 
 @dataclass(eq=False)
 class Call:
-    """A call from its grant to its last event."""
+    """State of a call from its grant to its last event."""
 
     number: int
     kind: Kind
     unread: int
     tokens_left: int
-    heard_at: float = 0.0
+    last_event_at: float = 0.0
     longest_pause: float = 0.0
     ended: bool = False
 
@@ -84,15 +87,15 @@
     busy: bool = False
 
 
-class EnginePlay:
-    """One play; ``heeds_pauses`` says whether the owner knows what streams bear."""
+class EngineSimulation:
+    """One simulation; ``limits_pauses`` says whether the owner limits prefill by pauses."""
 
     def __init__(
-        self, seed: int, engines: int, load: float, seconds: float, *, heeds_pauses: bool
+        self, seed: int, engines: int, load: float, seconds: float, *, limits_pauses: bool
     ) -> None:
-        self._source = random.Random(seed)
+        self._random = random.Random(seed)
         self._load, self._seconds = load, seconds
-        self._heeds_pauses = heeds_pauses
+        self._limits_pauses = limits_pauses
         self._records = tuple(
             WorkerRecord(f"e{number}", SERVICE, "", "a", slots=24) for number in range(engines)
         )
@@ -107,40 +110,40 @@
         self.calls: list[Call] = []
         self.tokens_read = 0
 
-    def run(self, kinds: tuple[Kind, ...]) -> "EnginePlay":
-        """Play callers for so many seconds, and their calls to their ends."""
+    def run(self, kinds: tuple[Kind, ...]) -> "EngineSimulation":
+        """Simulate arrivals for the configured seconds, then run all calls to their ends."""
         for kind in kinds:
             self._next_arrival(kind)
-        self._beat()
+        self._heartbeat()
         while self._events:
             self._now, _, act = heapq.heappop(self._events)
             act()
         return self
 
-    def late(self, kind: Kind) -> float:
-        """Return the share of a kind's streams that paused for too long."""
+    def late_share(self, kind: Kind) -> float:
+        """Return the share of a kind's streams that paused for longer than the limit."""
         calls = [call for call in self.calls if call.kind is kind]
-        return sum(call.longest_pause > LONGEST_PAUSE for call in calls) / len(calls)
+        return sum(call.longest_pause > MAX_PAUSE_SECONDS for call in calls) / len(calls)
 
-    def _at(self, moment: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (moment, next(self._order), act))
+    def _schedule(self, time: float, act: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (time, next(self._order), act))
 
     def _next_arrival(self, kind: Kind) -> None:
-        at = self._now + self._source.expovariate(kind.rate * self._load)
+        at = self._now + self._random.expovariate(kind.rate * self._load)
         if at < self._seconds:
-            self._at(at, lambda: self._arrive(kind))
+            self._schedule(at, lambda: self._arrive(kind))
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         for worker_id, engine in self._engines.items():
             count = len(engine.prompts) + len(engine.streams)
             self._statistics.of(worker_id).peers_in_flight = count
         if self._now < self._seconds:
-            self._at(self._now + BEAT_SECONDS, self._beat)
+            self._schedule(self._now + HEARTBEAT_SECONDS, self._heartbeat)
 
     def _arrive(self, kind: Kind) -> None:
         self._next_arrival(kind)
-        prompt, tokens_out = self._prompt(kind)
-        pause = LONGEST_PAUSE if self._heeds_pauses else None
+        prompt, tokens_out = self._draw_prompt(kind)
+        pause = MAX_PAUSE_SECONDS if self._limits_pauses else None
         question = EngineQuestion(
             prompt=prompt,
             penalties=self._isolation.penalties(self._records, long=kind.long),
@@ -155,35 +158,40 @@
         call = Call(number, kind, prompt.whole_tokens - kept, tokens_out)
         self.calls.append(call)
         self.tokens_read += call.unread
-        self._at(
-            self._now + WAY_SECONDS, lambda: self._take(engine, _Prompt(call, call.unread, kept))
+        self._schedule(
+            self._now + NETWORK_DELAY_SECONDS,
+            lambda: self._enqueue(engine, _Prompt(call, call.unread, kept)),
         )
 
-    def _prompt(self, kind: Kind) -> tuple[PromptShape, int]:
+    def _draw_prompt(self, kind: Kind) -> tuple[PromptShape, int]:
         parts = []
         for level, (tokens, different) in enumerate(kind.shared):
-            number = self._source.randrange(different)
+            number = self._random.randrange(different)
             sizes = random.Random(f"{kind.name} {level} {number}")
-            size = self._size(sizes, tokens, 0.5, 3.0 * tokens)
+            size = self._draw_size(sizes, tokens, 0.5, 3.0 * tokens)
             parts.append(PrefixPart(f"{kind.name}-{level}-{number}", int(size)))
-        own = int(self._size(self._source, kind.own_tokens, 1.0, kind.most_own_tokens))
+        own = int(self._draw_size(self._random, kind.own_tokens, 1.0, kind.max_own_tokens))
         parts.append(PrefixPart(f"own-{next(self._order)}", own))
-        events = max(1, round(self._size(self._source, kind.events, 1.0, kind.most_events)))
+        events = max(1, round(self._draw_size(self._random, kind.events, 1.0, kind.max_events)))
         tokens_out = EVENT_TOKENS * events
         whole = sum(part.tokens for part in parts)
         return PromptShape("m", whole, tokens_out, tuple(parts)), tokens_out
 
-    def _size(self, source: random.Random, mean: float, spread: float, most: float) -> float:
+    def _draw_size(
+        self, source: random.Random, mean: float, spread: float, maximum: float
+    ) -> float:
         variance = math.log(1 + spread * spread)
-        return min(most, source.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance)))
+        return min(
+            maximum, source.lognormvariate(math.log(mean) - variance / 2, math.sqrt(variance))
+        )
 
-    def _take(self, engine: _Engine, prompt: _Prompt) -> None:
+    def _enqueue(self, engine: _Engine, prompt: _Prompt) -> None:
         engine.prompts.append(prompt)
         if not engine.busy:
-            self._step(engine)
+            self._start_step(engine)
 
-    def _step(self, engine: _Engine) -> None:
-        """Read a part of the prompts that wait, and make one token of each stream."""
+    def _start_step(self, engine: _Engine) -> None:
+        """Read one chunk of the waiting prompts and produce one token of each stream."""
         engine.busy = bool(engine.prompts or engine.streams)
         if not engine.busy:
             return
@@ -191,7 +199,7 @@
         while engine.prompts and left > 0:
             prompt = engine.prompts[0]
             tokens = min(left, prompt.unread)
-            seconds += tokens / TOKENS_A_SECOND
+            seconds += tokens / TOKENS_PER_SECOND
             seconds += PAIR_SECONDS * tokens * (prompt.before + tokens / 2)
             prompt.before += tokens
             prompt.unread -= tokens
@@ -199,23 +207,23 @@
             if prompt.unread == 0:
                 read.append(engine.prompts.popleft().call)
         streams = list(engine.streams)
-        self._at(self._now + seconds, lambda: self._stepped(engine, read, streams))
+        self._schedule(self._now + seconds, lambda: self._complete_step(engine, read, streams))
 
-    def _stepped(self, engine: _Engine, read: list[Call], streams: list[Call]) -> None:
+    def _complete_step(self, engine: _Engine, read: list[Call], streams: list[Call]) -> None:
         for call in read:
-            self._begin(engine, call)
+            self._begin_stream(engine, call)
         for call in streams:
             call.tokens_left -= 1
             if call.tokens_left % EVENT_TOKENS == 0:
-                call.longest_pause = max(call.longest_pause, self._now - call.heard_at)
-                call.heard_at = self._now
+                call.longest_pause = max(call.longest_pause, self._now - call.last_event_at)
+                call.last_event_at = self._now
             if call.tokens_left == 0:
                 call.ended = True
                 engine.streams.remove(call)
-        self._step(engine)
+        self._start_step(engine)
 
-    def _begin(self, engine: _Engine, call: Call) -> None:
-        call.heard_at = self._now
+    def _begin_stream(self, engine: _Engine, call: Call) -> None:
+        call.last_event_at = self._now
         engine.streams.append(call)
         granted = self._grants.done(str(call.number))
         if granted is not None:
@@ -224,5 +232,5 @@
 
 
 def with_rate(kind: Kind, factor: float) -> Kind:
-    """Return a kind that comes so many times as often."""
+    """Return the kind with its call rate multiplied by ``factor``."""
     return replace(kind, rate=factor * kind.rate)
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -1,4 +1,4 @@
-"""A call is admitted by its chance to be in time, as measured errors of forecasts tell it."""
+"""Admission of calls by their probability to be in time, from measured errors of forecasts."""
 
 import random
 from statistics import mean
@@ -9,7 +9,7 @@
 
 from corkcrank.scheduling.call_admission import (
     IDLE_WAIT_SECONDS,
-    LEAST_CHANCE,
+    MIN_IN_TIME_PROBABILITY,
     RESERVED_DEVIATIONS,
     ChainForecast,
     EngineForecast,
@@ -34,7 +34,7 @@
 
 
 @given(end=st.floats(0.1, 10.0), correction=corrections, engine=engines, idle=st.booleans())
-def test_nobody_is_admitted_to_make_others_late_and_who_comes_back_has_the_whole_objective(
+def test_late_calls_are_admitted_only_while_idle_and_returning_calls_need_no_reserve(
     end: float, correction: ForecastCorrection, engine: EngineForecast, idle: bool
 ) -> None:
     wait = 2 * IDLE_WAIT_SECONDS
@@ -52,7 +52,7 @@
 
 
 @given(end=st.floats(0.1, 10.0), correction=corrections, more=st.floats(0.0, 5.0))
-def test_who_waits_longer_or_is_less_sure_is_never_admitted_instead(
+def test_longer_wait_or_larger_spread_never_helps_admission(
     end: float, correction: ForecastCorrection, more: float
 ) -> None:
     def admitted(seconds: float, spread: float) -> bool:
@@ -66,15 +66,16 @@
 
 @pytest.mark.parametrize("slowness", [1.0, 1.3])
 @pytest.mark.parametrize("error", [0.05, 0.3])
-def test_the_chance_that_is_asked_for_is_the_chance_that_calls_have(
+def test_admitted_calls_are_in_time_with_the_required_probability(
     slowness: float, error: float
 ) -> None:
-    """Calls that just fit are in time about as often as admission asks, however sure forecasts are.
+    """Calls that are just admitted are in time about as often as admission requires.
 
-    A fixed tenth of the objective was kept by 0.98 to 0.99 of such calls where forecasts strayed by
-    0.05 s a second, and by 0.67 to 0.68 where they strayed by 0.3; now by 0.66 to 0.76 and by 0.65
-    to 0.68. Where workers are twice as slow as stated and forecasts sure, the belief that a
-    forecast is right pulls the correction below what is measured: 0.40 at 20 calls a second.
+    This holds for small and large forecast errors. With a fixed reserve of a tenth of the
+    objective, 0.98 to 0.99 of such calls were in time at a forecast error of 0.05 s a second, and
+    0.67 to 0.68 at 0.3; with the measured reserve, 0.66 to 0.76 and 0.65 to 0.68. If workers are
+    twice as slow as configured and the forecast error is small, the prior pulls the correction
+    below the measured ratio: 0.40 at 20 calls a second.
     """
     in_time = []
     for seed in range(3):
@@ -88,10 +89,10 @@
             if number > 100:
                 in_time.append(measured <= forecast * correction.factor + reserve)
             bias.learn("r", forecast, measured, now)
-    assert abs(mean(in_time) - LEAST_CHANCE) < 0.1
+    assert abs(mean(in_time) - MIN_IN_TIME_PROBABILITY) < 0.1
 
 
-def test_before_anything_is_measured_a_wait_is_anywhere_within_one_call() -> None:
+def test_prior_spread_is_that_of_a_wait_uniform_over_one_call() -> None:
     spread = ForecastBias().of("r", 0.0).spread_seconds(2.0)
     assert spread == pytest.approx(2.0 * PRIOR_VARIANCE**0.5)
 
@@ -109,9 +110,7 @@
     ),
     later=st.floats(0.0, 100.0),
 )
-def test_whatever_peers_tell_gives_a_correction_that_fades(
-    ratios: list[ForecastRatio], later: float
-) -> None:
+def test_correction_from_any_peer_reports_decays(ratios: list[ForecastRatio], later: float) -> None:
     bias = ForecastBias()
     for number, ratio in enumerate(ratios):
         bias.take(str(number), (ratio,), 0.0)
@@ -121,7 +120,7 @@
     assert bias.of("r", 1000.0).factor == pytest.approx(1.0)
 
 
-def test_peers_learn_the_scatter_that_another_measured() -> None:
+def test_reported_scatter_reaches_peers() -> None:
     one, two = ForecastBias(), ForecastBias()
     source = random.Random(1)
     for _ in range(50):
@@ -130,8 +129,8 @@
     assert two.of("r", 0.0).scatter == pytest.approx(one.of("r", 0.0).scatter, abs=0.01)
 
 
-def test_callers_are_served_by_their_deadline_where_nothing_waits_whatever_is_foreseen() -> None:
-    """One that had come back was refused for 0.05 s of wait for pieces only foreseen."""
+def test_deadline_applies_while_nothing_is_queued_whatever_is_forecast_to_arrive() -> None:
+    """A returning call was refused for a wait of 0.05 s for pieces only forecast to arrive."""
     for returning in (False, True):
         chain = ChainForecast(end=0.8, waiting=0.08, queued=0.0)
         correction = ForecastCorrection(factor=1.5)
--- a/tests/scheduling/test_choices.py
+++ b/tests/scheduling/test_choices.py
@@ -1,4 +1,4 @@
-"""Choices of engines and workers, and admission over the chain."""
+"""Choice of engines and workers, admission over the stage chain, and parsing of event streams."""
 
 import random
 
@@ -34,7 +34,7 @@
     assert len(first) == 1
 
 
-def test_engine_that_keeps_the_prefix_is_preferred_until_it_has_much_to_read() -> None:
+def test_engine_with_cached_prefix_is_preferred_until_its_prefill_queue_is_long() -> None:
     chooser, worker_statistics = EngineChooser(), WorkerStatisticsTable()
     other = chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 0.0)[-1]
     chooser.sent(other.worker_id, 100_000, PROMPT.shared_parts, 0.0)
@@ -43,7 +43,7 @@
     assert chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 1.0)[0] != other
 
 
-def test_parts_that_gave_way_are_not_counted_as_kept() -> None:
+def test_evicted_parts_do_not_count_as_cached() -> None:
     chooser = EngineChooser()
     chooser.sent("e0", 2_600, PROMPT.shared_parts, 0.0)
     assert chooser.unread_tokens("e0", PROMPT) == 500
@@ -51,7 +51,7 @@
     assert chooser.unread_tokens("e0", PROMPT) == 3_000
 
 
-def test_tried_and_leaving_engines_are_left_out() -> None:
+def test_excluded_and_leaving_engines_are_not_ranked() -> None:
     worker_statistics = WorkerStatisticsTable()
     worker_statistics.of("e1").leaving = True
     question = EngineQuestion(PROMPT, excluded=["e0"])
@@ -60,7 +60,7 @@
 
 
 @given(loads=st.lists(st.integers(0, 20), min_size=4, max_size=4), seed=st.integers(0, 100))
-def test_plain_worker_of_least_pressure_is_chosen(loads: list[int], seed: int) -> None:
+def test_worker_with_fewest_calls_in_flight_is_chosen(loads: list[int], seed: int) -> None:
     worker_statistics = WorkerStatisticsTable()
     for engine, load in zip(ENGINES, loads, strict=True):
         worker_statistics.of(engine.worker_id).in_flight = load
@@ -69,14 +69,17 @@
     assert worker_statistics.of(chosen.worker_id).in_flight == min(loads)
 
 
-def test_large_results_stay_in_their_zone_unless_that_is_late() -> None:
-    near, far = WorkerRecord("n", "s", "", "a"), WorkerRecord("f", "s", "", "b")
+def test_large_results_stay_in_their_zone_unless_the_call_would_be_late() -> None:
+    same_zone, other_zone = WorkerRecord("n", "s", "", "a"), WorkerRecord("f", "s", "", "b")
 
-    def place(near_end: float, end_by: float) -> str:
+    def place(same_zone_end: float, end_by: float) -> str:
         placing = StagePlacing("s", 2, 1.5e6, Urgency((0, 0), 1.0), end_by, reader_zone="a")
-        ends = {"n": QueueForecast(near_end - 0.4, near_end), "f": QueueForecast(0.0, 0.4)}
+        ends = {
+            "n": QueueForecast(same_zone_end - 0.4, same_zone_end),
+            "f": QueueForecast(0.0, 0.4),
+        }
         choice = choose_stage_worker(
-            [near, far],
+            [same_zone, other_zone],
             lambda item: ends[item.worker_id],
             placing,
             WorkerStatisticsTable(),
@@ -87,11 +90,11 @@
         assert choice is not None
         return choice[0].worker_id
 
-    assert place(near_end=1.0, end_by=2.0) == "n"
-    assert place(near_end=1.0, end_by=0.5) == "f"
+    assert place(same_zone_end=1.0, end_by=2.0) == "n"
+    assert place(same_zone_end=1.0, end_by=0.5) == "f"
 
 
-def test_chain_waits_only_for_what_is_not_over_by_then() -> None:
+def test_wait_that_overlaps_with_earlier_stages_counts_once() -> None:
     stages = (StageDefinition("a"), StageDefinition("b", (0,)))
     waits = {0: StageForecast(0.5, 1.0, 0.5), 1: StageForecast(0.8, 1.2, 0.1)}
     chain = forecast_chain(stages, (1, 1), lambda stage: waits[stage])
@@ -107,7 +110,7 @@
 
 
 @given(needed=st.floats(0.0, 20.0), left=st.floats(0.5, 20.0))
-def test_told_time_is_within_what_callers_wait(needed: float, left: float) -> None:
+def test_retry_time_is_within_what_callers_wait(needed: float, left: float) -> None:
     chain = forecast_chain(
         (StageDefinition("a"),), (1,), lambda stage: StageForecast(needed, needed, needed)
     )
@@ -133,24 +136,24 @@
     assert [event.event_id for event in events] == list(range(len(data)))
 
 
-class CountingMemory(PrefixMemory):
-    """A prefix memory that counts how often it is asked for a part."""
+class CountingPrefixMemory(PrefixMemory):
+    """A prefix memory that counts the calls of ``used_since``."""
 
-    asked = 0
+    lookups = 0
 
     def used_since(self, part_id: str, since: float) -> bool:
-        CountingMemory.asked += 1
+        CountingPrefixMemory.lookups += 1
         return super().used_since(part_id, since)
 
 
-def test_ranking_asks_each_engine_a_few_times_whatever_their_number() -> None:
+def test_ranking_makes_few_lookups_for_each_engine_whatever_their_number() -> None:
     parts = (PrefixPart("a", 500), PrefixPart("b", 500), PrefixPart("own", 10))
     for number in (10, 670):
         engines = [WorkerRecord(f"e{item}", "m", "", "z") for item in range(number)]
         chooser = EngineChooser()
         for engine in engines:
-            chooser._memories[engine.worker_id] = CountingMemory(10_000)
-        CountingMemory.asked = 0
+            chooser._memories[engine.worker_id] = CountingPrefixMemory(10_000)
+        CountingPrefixMemory.lookups = 0
         question = EngineQuestion(prompt=PromptShape(parts=parts))
         assert len(chooser.rank(engines, question, WorkerStatisticsTable(), 1.0)) == number
-        assert CountingMemory.asked <= 2 * len(parts) * number
+        assert CountingPrefixMemory.lookups <= 2 * len(parts) * number
--- a/tests/scheduling/test_prefill_grants.py
+++ b/tests/scheduling/test_prefill_grants.py
@@ -1,4 +1,4 @@
-"""The owner of a zone's engines: prompts at the same moment, prefixes, lost words."""
+"""Engine grants of a zone's owner: concurrent prompts, prefix affinity, lost reports."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,7 +6,7 @@
 from corkcrank.contracts.opaque_call import PrefixPart, PromptShape
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion
-from corkcrank.scheduling.prefill_grants import LONGEST_PREFILL_SECONDS, PrefillGrants
+from corkcrank.scheduling.prefill_grants import MAX_PREFILL_SECONDS, PrefillGrants
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 ENGINES = [WorkerRecord(f"e{number}", "m", "", "a") for number in range(4)]
@@ -29,13 +29,13 @@
     return engine.worker_id
 
 
-def test_prompts_of_one_moment_go_to_different_engines() -> None:
+def test_concurrent_prompts_go_to_different_engines() -> None:
     owner = grants()
     chosen = {granted(owner, f"call{number}", f"s{number}", 1.0) for number in range(4)}
     assert len(chosen) == 4
 
 
-def test_a_session_goes_back_to_its_engine_once_that_has_read() -> None:
+def test_a_session_returns_to_its_engine_after_its_prompt_was_read() -> None:
     owner = grants()
     first = granted(owner, "one", "session", 1.0)
     owner.done("one")
@@ -45,14 +45,14 @@
     assert granted(owner, "two", "session", 1.5) == first
 
 
-def test_a_prompt_whose_end_is_never_told_counts_for_a_while_only() -> None:
+def test_a_grant_without_a_completion_report_expires() -> None:
     owner = grants()
     granted(owner, "lost", "s", 1.0)
     assert sum(owner.reading(1.1).values()) > 0
-    assert not owner.reading(1.0 + LONGEST_PREFILL_SECONDS)
+    assert not owner.reading(1.0 + MAX_PREFILL_SECONDS)
 
 
-def test_no_engine_no_grant() -> None:
+def test_no_grant_without_engines() -> None:
     owner = grants()
     assert owner.grant("call", [], EngineQuestion(prompt("s")), CACHE_TOKENS, 1.0) is None
     assert not owner.reading(1.0)
@@ -63,21 +63,21 @@
         st.tuples(st.sampled_from("abcdef"), st.booleans(), st.floats(0.0, 0.4)), max_size=60
     )
 )
-def test_what_is_being_read_is_what_was_granted_and_not_done(
+def test_tokens_being_read_are_those_of_open_grants(
     steps: list[tuple[str, bool, float]],
 ) -> None:
     owner = grants()
-    open_turns: dict[str, float] = {}
+    open_grants: dict[str, float] = {}
     now = 0.0
     for call_id, done, pause in steps:
         now += pause
         if done:
             owner.done(call_id)
-            open_turns.pop(call_id, None)
+            open_grants.pop(call_id, None)
         else:
             granted(owner, call_id, call_id, now)
-            open_turns[call_id] = now + LONGEST_PREFILL_SECONDS
-        waiting = [key for key, ends_at in open_turns.items() if ends_at > now]
+            open_grants[call_id] = now + MAX_PREFILL_SECONDS
+        waiting = [key for key, expires_at in open_grants.items() if expires_at > now]
         reading = owner.reading(now)
         assert bool(reading) == bool(waiting)
         assert sum(reading.values()) <= 6_000 * len(waiting)
--- a/tests/scheduling/test_stage_plan.py
+++ b/tests/scheduling/test_stage_plan.py
@@ -1,4 +1,4 @@
-"""A call's way through its stage graph."""
+"""Progress of a call through its stage graph: order of stages, release and rerun."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,39 +19,40 @@
 
 
 @given(graph=graphs(), order=st.randoms(use_true_random=False))
-def test_every_graph_ends_and_each_result_is_freed_once(graph, order) -> None:  # type: ignore[no-untyped-def]
+def test_every_graph_completes_and_each_result_is_freed_once(graph, order) -> None:  # type: ignore[no-untyped-def]
     stages, counts = graph
     plan = StagePlan(stages, counts)
     running: list[int] = []
     freed: list[str] = []
-    made: list[str] = []
+    produced: list[str] = []
     while not plan.complete:
         for stage in plan.ready():
             assert all(
-                source in made_stages(made) or counts[source] == 0 for source in stages[stage].after
+                source in stages_of(produced) or counts[source] == 0
+                for source in stages[stage].after
             )
             plan.start(stage)
             running.append(stage)
-        assert running, "the plan stands still"
+        assert running, "no stage is running or ready, but the plan is not complete"
         stage = running.pop(order.randrange(len(running)))
         handles = tuple(f"{stage}/{piece}" for piece in range(counts[stage]))
         inputs = plan.inputs_of(stage)
         assert not set(inputs) & set(freed), "a result was freed before its reader read it"
         assert len(inputs) == sum(counts[source] for source in stages[stage].after)
         plan.finish(stage, handles)
-        made.extend(handles)
+        produced.extend(handles)
         freed.extend(plan.release())
     finals = plan.final_handles()
     assert not set(finals) & set(freed)
     freed.extend(plan.release_all())
-    assert sorted(freed) == sorted(made)
+    assert sorted(freed) == sorted(produced)
 
 
-def made_stages(made: list[str]) -> set[int]:
-    return {int(handle.split("/")[0]) for handle in made}
+def stages_of(produced: list[str]) -> set[int]:
+    return {int(handle.split("/")[0]) for handle in produced}
 
 
-def test_everything_is_made_again_after_its_results_were_freed() -> None:
+def test_all_stages_rerun_after_their_results_were_freed() -> None:
     plan = StagePlan((StageDefinition("a"), StageDefinition("b", (0,))), (1, 1))
     for stage, handle in ((0, "x"), (1, "y")):
         assert plan.ready() == [stage]
