--- a/src/corkcrank/scheduling/__init__.py
+++ b/src/corkcrank/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on where and when work runs: pure, with time and randomness handed in."""
+"""Decides where and when work runs. Pure code: callers pass in the time and random source."""
--- a/src/corkcrank/scheduling/batch_filling.py
+++ b/src/corkcrank/scheduling/batch_filling.py
@@ -1,21 +1,22 @@
-"""Which waiting pieces go into the next call of a stage worker."""
+"""Selects the waiting pieces that go into the next call to a stage worker."""
 
 from dataclasses import dataclass
 
 from corkcrank.contracts.urgency import Urgency
 from corkcrank.links.platform_ports import PieceOrder
 
-PASSING_SIZE = 0.1
-"""Pieces up to this part of a waiting one's size may pass it while it waits for room."""
+MAX_OVERTAKING_SIZE_SHARE = 0.1
+"""Largest size of a piece that may overtake one that waits for result memory, as a share of the
+latter's size."""
 
 
 @dataclass(slots=True, eq=False)
 class StageItem:
     """One piece of a stage that waits in a queue.
 
-    ``urgency`` orders the queue, lowest first; it tells when the piece should
-    have ended. ``start_by`` is when it is no longer worth starting, ``abandoned_at`` when
-    its call gave it up. ``alone`` says that it shares no batch with pieces of other calls.
+    ``urgency`` orders the queue, lowest first; it includes the time by which the piece should
+    finish. From ``start_by`` on, starting the piece is useless. ``abandoned_at`` is when its
+    call abandoned it. A piece that goes ``alone`` shares no batch with pieces of other calls.
     """
 
     order: PieceOrder
@@ -30,7 +31,7 @@
 
     @property
     def abandoned(self) -> bool:
-        """Return whether the piece's call has given it up."""
+        """Return whether the piece's call has abandoned it."""
         return self.abandoned_at is not None
 
 
@@ -39,38 +40,38 @@
 ) -> list[StageItem]:
     """Return the pieces of the next call, in the order of the queue.
 
-    The pieces of one call's stage are started together if they fit the room at all: a
-    part of them would hold room while it waits for the rest. While such a group waits for
-    room, only far smaller pieces pass it.
+    The pieces of one call's stage start together if ``whole_room`` can hold them all. If only
+    some of them started, their results would occupy memory until the others finish. While such
+    a group waits for room, only far smaller pieces may overtake it.
 
-    Pieces that go ``alone`` wait until they are first and are a batch of their own. With others
-    in their batch they would end the worker for them too, again and again.
+    Pieces that go ``alone`` wait until they are first and then form their own batch. Such a piece
+    may repeatedly crash its worker, and every other piece in the batch would fail with it.
     """
     chosen: list[StageItem] = []
-    largest = float("inf")
-    for group in _groups(queue):
+    max_size = float("inf")
+    for group in _group_by_call_and_stage(queue):
         if chosen and (group[0].alone or chosen[0].alone):
             continue
         size = group[0].result_bytes
-        if size > largest:
+        if size > max_size:
             continue
-        wanted = size * len(group)
-        if wanted > room and wanted <= whole_room:
-            largest = min(largest, size * PASSING_SIZE)
+        group_size = size * len(group)
+        if group_size > room and group_size <= whole_room:
+            max_size = min(max_size, size * MAX_OVERTAKING_SIZE_SHARE)
             continue
         for stage_item in group:
             if len(chosen) >= batch:
                 return chosen
             if size > room:
-                largest = min(largest, size * PASSING_SIZE)
+                max_size = min(max_size, size * MAX_OVERTAKING_SIZE_SHARE)
                 break
             room -= size
             chosen.append(stage_item)
     return chosen
 
 
-def _groups(queue: list[StageItem]) -> list[list[StageItem]]:
-    """Return the pieces of each call's stage together, in the order of their first."""
+def _group_by_call_and_stage(queue: list[StageItem]) -> list[list[StageItem]]:
+    """Group the pieces by call and stage; groups are in the order of their first piece."""
     groups: dict[tuple[str, int], list[StageItem]] = {}
     for stage_item in queue:
         groups.setdefault((stage_item.order.call_id, stage_item.order.stage), []).append(stage_item)
--- a/src/corkcrank/scheduling/peer_loads.py
+++ b/src/corkcrank/scheduling/peer_loads.py
@@ -1,22 +1,22 @@
-"""Calls in flight at workers as the other gateways tell them, added up."""
+"""Adds up the calls in flight at each worker that the other gateways report."""
 
 from collections.abc import Iterable
 
 from corkcrank.machines.heartbeat import CallLoad
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-_NOTHING = CallLoad("", 0)
+_NO_LOAD = CallLoad("", 0)
 
 
 class PeerLoads:
-    """Keeps each peer's last word, so that a new one replaces just that."""
+    """The latest load report of each peer; a new report replaces only that peer's old one."""
 
     def __init__(self, worker_statistics: WorkerStatisticsTable) -> None:
         self._worker_statistics = worker_statistics
-        self._told: dict[str, dict[str, CallLoad]] = {}
+        self._reported_by_peer: dict[str, dict[str, CallLoad]] = {}
 
     def take(self, peer: str, loads: Iterable[CallLoad]) -> None:
-        """Replace what a peer told before.
+        """Replace a peer's previous load report.
 
         >>> worker_statistics = WorkerStatisticsTable()
         >>> peers = PeerLoads(worker_statistics)
@@ -24,20 +24,20 @@
         >>> worker_statistics.of("w").peers_in_flight, worker_statistics.of("w").peers_reading
         (1, 0)
         """
-        told = {load.worker_id: load for load in loads}
-        before = self._told.get(peer, {})
-        for worker_id in {**told, **before}:
-            new, old = told.get(worker_id, _NOTHING), before.get(worker_id, _NOTHING)
+        reported = {load.worker_id: load for load in loads}
+        before = self._reported_by_peer.get(peer, {})
+        for worker_id in {**reported, **before}:
+            new, old = reported.get(worker_id, _NO_LOAD), before.get(worker_id, _NO_LOAD)
             statistics = self._worker_statistics.of(worker_id)
             statistics.peers_in_flight += new.in_flight - old.in_flight
             statistics.peers_reading += new.reading - old.reading
-        self._told[peer] = told
+        self._reported_by_peer[peer] = reported
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that is silent."""
+        """Remove a peer that no longer sends heartbeats, with its load."""
         self.take(peer, ())
-        del self._told[peer]
+        del self._reported_by_peer[peer]
 
     def peers(self) -> list[str]:
-        """Return the peers that are counted."""
-        return list(self._told)
+        """Return the names of the peers whose load is included."""
+        return list(self._reported_by_peer)
--- a/src/corkcrank/scheduling/queue_counters.py
+++ b/src/corkcrank/scheduling/queue_counters.py
@@ -1,11 +1,11 @@
-"""What the queue before a stage worker did, for dumps and tests."""
+"""Event counters of a stage worker's queue, for state dumps and tests."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class QueueCounters:
-    """What a queue did since it was made."""
+    """Totals of one queue since its creation."""
 
     calls: int = 0
     pieces: int = 0
--- a/src/corkcrank/scheduling/stage_backlog.py
+++ b/src/corkcrank/scheduling/stage_backlog.py
@@ -1,8 +1,8 @@
-"""Pieces that admitted calls have not asked for yet, by stage service and rank.
+"""Counts pieces that admitted calls will request at later stages, by stage service and rank.
 
 A stage's queue does not show the calls that are still at an earlier stage. The owner of the
-earlier stage's queue counts what its calls will ask for next and tells the others, so that
-admission sees the whole chain.
+earlier stage's queue therefore counts the pieces that its calls will request next and reports
+the counts to the other gateways. Admission then accounts for the whole chain of stages.
 """
 
 import math
@@ -12,37 +12,37 @@
 
 Rank = tuple[int, int]
 
-RATE_SECONDS = 2.0
-"""Time constant of the rate at which calls ask for pieces."""
+RATE_TIME_CONSTANT_SECONDS = 2.0
+"""Time constant of the exponentially decaying rate at which calls request pieces."""
 
-LEAST_RATE = 0.05
-"""Pieces a second below which a rate is forgotten."""
+MIN_RATE_PIECES_PER_SECOND = 0.05
+"""Rates below this many pieces per second are removed if no pieces are expected either."""
 
 
 @dataclass(slots=True)
 class _Rate:
-    """Pieces a second, each fading with :data:`RATE_SECONDS`."""
+    """Pieces per second with exponential decay; the time constant is :data:`RATE_SECONDS`."""
 
     value: float = 0.0
     at: float = 0.0
 
     def add(self, pieces: int, now: float) -> None:
-        self.value = self.current(now) + pieces / RATE_SECONDS
+        self.value = self.current(now) + pieces / RATE_TIME_CONSTANT_SECONDS
         self.at = now
 
     def current(self, now: float) -> float:
-        return self.value * math.exp(-max(0.0, now - self.at) / RATE_SECONDS)
+        return self.value * math.exp(-max(0.0, now - self.at) / RATE_TIME_CONSTANT_SECONDS)
 
 
 class StageBacklog:
-    """Counts; each call adds when it is admitted and takes off as it goes on."""
+    """Counts of expected pieces; a call adds its pieces and subtracts them as it proceeds."""
 
     def __init__(self) -> None:
         self._pieces: Counter[tuple[str, Rank]] = Counter()
         self._rates: dict[tuple[str, Rank], _Rate] = {}
 
     def add(self, service: str, rank: Rank, pieces: int) -> None:
-        """Count pieces that a call will ask for later.
+        """Add pieces that a call will request later.
 
         >>> backlog = StageBacklog()
         >>> backlog.add("s", (0, 1), 3); backlog.take("s", (0, 1), 2)
@@ -52,15 +52,15 @@
         self._pieces[service, rank] += pieces
 
     def asked(self, service: str, rank: Rank, pieces: int, now: float) -> None:
-        """Note that pieces were asked for, for the rate at which they are."""
+        """Record that pieces were requested, to update the request rate."""
         self._rates.setdefault((service, rank), _Rate()).add(pieces, now)
 
     def take(self, service: str, rank: Rank, pieces: int) -> None:
-        """Take off pieces that were asked for, or whose call has ended."""
+        """Subtract pieces that were requested, or whose call has ended."""
         self._pieces[service, rank] -= pieces
 
     def up_to(self, service: str, rank: Rank) -> int:
-        """Return the pieces still to come for a service, of this rank or a more urgent one."""
+        """Return the pieces expected at a service, of this rank or a more urgent one."""
         return sum(
             pieces
             for (name, item), pieces in self._pieces.items()
@@ -68,7 +68,7 @@
         )
 
     def rate_before(self, service: str, rank: Rank, now: float) -> float:
-        """Return the pieces a second that more urgent ranks ask of a service.
+        """Return the pieces per second that more urgent ranks request from a service.
 
         >>> backlog = StageBacklog()
         >>> backlog.asked("s", (0, 0), 4, 0.0)
@@ -82,12 +82,12 @@
         )
 
     def all(self, now: float) -> Iterable[tuple[str, Rank, int, float]]:
-        """Return every count with its rate; forgets what is neither."""
+        """Return every count with its rate; removes entries without pieces and with a low rate."""
         counts = []
         for key in list({**self._rates, **self._pieces}):
             rate = self._rates.get(key)
             pieces, current = self._pieces[key], rate.current(now) if rate else 0.0
-            if pieces <= 0 and current < LEAST_RATE:
+            if pieces <= 0 and current < MIN_RATE_PIECES_PER_SECOND:
                 self._rates.pop(key, None)
                 del self._pieces[key]
                 continue
--- a/src/corkcrank/scheduling/stage_choice.py
+++ b/src/corkcrank/scheduling/stage_choice.py
@@ -1,4 +1,7 @@
-"""Choice of a stage worker: when would the pieces end there, and what must be moved."""
+"""Chooses a stage worker by expected finish time, bytes moved between zones and failures.
+
+The cost of a worker is in seconds: penalties are added to the time at which the pieces finish.
+"""
 
 import random
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -9,32 +12,32 @@
 from corkcrank.scheduling.stage_queue import QueueForecast
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-REMOTE_SECONDS_A_MEGABYTE = 0.25
-"""Seconds that each megabyte moved between zones counts as."""
+CROSS_ZONE_SECONDS_PER_MEGABYTE = 0.25
+"""Cost of each megabyte that is moved between zones."""
 
-LATE_FACTOR = 3.0
-"""A second beyond the latest useful end counts as this many more."""
+LATENESS_COST_FACTOR = 3.0
+"""Additional cost of each second after the latest useful finish time."""
 
-MEGABYTE = 1e6
+BYTES_PER_MEGABYTE = 1e6
 
-EJECTED_SECONDS = 3.0
-"""Seconds that an ejection counts as: three remembered failures."""
+EJECTION_COST_SECONDS = 3.0
+"""Cost of an ejected worker: equal to three recent failures."""
 
-EXCESS_SECONDS = 2.0
-"""Seconds of a worker that is expected to fail all of its calls while the others fail none: the
-repeat of its pieces elsewhere."""
+EXCESS_FAILURE_COST_SECONDS = 2.0
+"""Cost of a worker that is expected to fail all of its calls while the others fail none: its
+pieces must be rerun elsewhere."""
 
-FAILURE_SECONDS = 1.0
-"""Seconds that each remembered failure counts as."""
+FAILURE_COST_SECONDS = 1.0
+"""Cost of each recent failure of a worker."""
 
 
 @dataclass(frozen=True, slots=True)
 class StagePlacing:
-    """Pieces to be placed: how many, how large, from where, to where.
+    """Pieces to be placed: their number, result size, inputs and reader.
 
-    ``inputs`` gives the bytes that all pieces together pull from each zone. ``reader_zone``
-    is where the results will be read, if that is known, and ``ahead`` the wait for the
-    next stage in a zone, since work follows large results. Times are seconds from now.
+    ``inputs`` gives the bytes that all pieces together read from each zone. ``reader_zone`` is
+    the zone in which the results will be read, if known. ``ahead`` returns the wait for the next
+    stage in a zone, since work runs where its large inputs are. Times are seconds from now.
     """
 
     service: str
@@ -47,16 +50,16 @@
     ahead: Callable[[str], float] | None = None
 
     def moved_bytes(self, zone: str) -> float:
-        """Return the bytes that cross between zones if the pieces are made in ``zone``.
+        """Return the bytes that cross zone boundaries if the pieces run in ``zone``.
 
         >>> urgency = Urgency((0, 0), 1.0)
         >>> placing = StagePlacing("s", 2, 5.0, urgency, inputs={"a": 7.0}, reader_zone="b")
         >>> placing.moved_bytes("a"), placing.moved_bytes("b")
         (10.0, 7.0)
         """
-        pulled = sum(size for source, size in self.inputs.items() if source != zone)
-        pushed = 0.0 if self.reader_zone in ("", zone) else self.pieces * self.size
-        return pulled + pushed
+        input_bytes = sum(size for source, size in self.inputs.items() if source != zone)
+        output_bytes = 0.0 if self.reader_zone in ("", zone) else self.pieces * self.size
+        return input_bytes + output_bytes
 
 
 def choose_stage_worker(
@@ -68,7 +71,7 @@
     excluded: Collection[str],
     random_source: random.Random,
 ) -> tuple[WorkerRecord, QueueForecast] | None:
-    """Return the worker where the pieces cost least, with its forecast."""
+    """Return the worker with the lowest cost for the pieces, with its forecast."""
     best: tuple[WorkerRecord, QueueForecast] | None = None
     best_cost: tuple[float, float] | None = None
     for worker in candidates:
@@ -76,23 +79,23 @@
         if worker.worker_id in excluded or statistics.out_of_use(now):
             continue
         expected = forecast(worker)
-        cost = _cost(worker, expected, placing)
-        cost += FAILURE_SECONDS * statistics.recent_failures(now)
+        cost = _cost_seconds(worker, expected, placing)
+        cost += FAILURE_COST_SECONDS * statistics.recent_failures(now)
         if statistics.avoid_until > now:
-            cost += FAILURE_SECONDS
-        cost += EXCESS_SECONDS * statistics.excess
+            cost += FAILURE_COST_SECONDS
+        cost += EXCESS_FAILURE_COST_SECONDS * statistics.excess
         if statistics.set_aside(repeatable=True):
-            cost += EJECTED_SECONDS
+            cost += EJECTION_COST_SECONDS
         key = (cost, random_source.random())
         if best_cost is None or key < best_cost:
             best, best_cost = (worker, expected), key
     return best
 
 
-def _cost(worker: WorkerRecord, expected: QueueForecast, placing: StagePlacing) -> float:
+def _cost_seconds(worker: WorkerRecord, expected: QueueForecast, placing: StagePlacing) -> float:
     end = expected.end
     if placing.ahead is not None:
         end += placing.ahead(worker.zone)
     late = max(0.0, end - placing.end_by)
-    moved = placing.moved_bytes(worker.zone) / MEGABYTE
-    return end + LATE_FACTOR * late + REMOTE_SECONDS_A_MEGABYTE * moved
+    moved = placing.moved_bytes(worker.zone) / BYTES_PER_MEGABYTE
+    return end + LATENESS_COST_FACTOR * late + CROSS_ZONE_SECONDS_PER_MEGABYTE * moved
--- a/src/corkcrank/scheduling/stage_queue.py
+++ b/src/corkcrank/scheduling/stage_queue.py
@@ -1,8 +1,8 @@
-"""The queue before one stage worker, kept by the gateway that owns it.
+"""The queue of one stage worker, managed by the gateway that owns it.
 
-A stage worker has few slots, takes a batch of pieces a call, and has room for few
-results. The queue fills batches across calls and gateways, counts room before a piece is
-sent, and forecasts when a new piece would start. Pure: the time is handed in.
+A stage worker has few slots, accepts a batch of pieces per call, and has memory ("room") for few
+results. The queue forms batches across calls and gateways, reserves room before a piece is
+sent, and forecasts when a new piece would start. Pure code: callers pass in the time.
 """
 
 from dataclasses import dataclass, field
@@ -14,43 +14,43 @@
 from corkcrank.scheduling.queue_counters import QueueCounters
 
 PACE_WEIGHT = 0.2
-"""Weight of the newest call in the pace, measured time over the stated time."""
+"""Weight of the newest call in the pace, which is measured time divided by stated time."""
 
 PACE_BOUNDS = (0.5, 8.0)
-"""Bounds of the pace, so that one odd call does not stop or flood a worker."""
+"""Bounds of the measured pace, so that one outlier does not starve or overload a worker."""
 
 HOLD_WEIGHT = 0.1
-"""Weight of the newest result in the mean time for which results hold room."""
+"""Weight of the newest result in the mean hold time, for which a result occupies room."""
 
-ROOM_STEP_DOWN = 0.05
-"""Part of the room that is no longer used after a call that found too little."""
+USABLE_ROOM_DECREASE = 0.05
+"""Reduction of the usable share of the room after a call for which it was too small."""
 
-ROOM_STEP_UP = 0.005
-"""Part of the room that is used again after a call that found enough."""
+USABLE_ROOM_INCREASE = 0.005
+"""Increase of the usable share of the room after a call for which it sufficed."""
 
-LEAST_USABLE_ROOM = 0.6
-"""The part of the room that is always used."""
+MIN_USABLE_ROOM_SHARE = 0.6
+"""Lower bound of the usable share of the room."""
 
-SHORT_ROOM_SHARE = 0.6
-"""Part of the room that is spoken for beyond which batches are cut for it: those at work hold
-room beside the results that wait to be read."""
+SHORT_OF_ROOM_SHARE = 0.6
+"""Share of the room, used or wanted, above which room limits the batches: running batches need
+room in addition to the results that wait to be read."""
 
 UNKNOWN_HANDLE = ""
-"""Stands for results that hold room and that this queue does not know."""
+"""Placeholder handle for results that occupy room and that this queue does not know."""
 
 UNKNOWN_HOLD_SECONDS = 0.3
-"""Time for which room that a worker said it lacks is not asked for again."""
+"""Time for which room is not requested again after the worker refused a piece for lack of it."""
 
-SMALLER_SHARE = 0.99
-"""Part of a piece without room that counts as free: enough for any that is really smaller."""
+FREE_SHARE_OF_REFUSED_SIZE = 0.99
+"""Share of a refused piece's size that counts as free, so that a truly smaller piece fits."""
 
 REPORTED_HOLD_SECONDS = 0.1
-"""The same where the worker told how much it has: a report costs a few round trips."""
+"""The same if the worker reported its free room: a report costs a few round trips."""
 
 
 @dataclass(slots=True, eq=False)
 class StageCall:
-    """One call at work at the worker."""
+    """One running call at the worker."""
 
     stage_items: list[StageItem]
     started_at: float
@@ -60,13 +60,13 @@
 @dataclass(slots=True)
 class _HeldResult:
     size: float
-    made_at: float
+    completed_at: float
     expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class QueueForecast:
-    """When a new piece would start and end, in seconds from now."""
+    """When a new piece would start and finish, in seconds from now."""
 
     start: float
     end: float
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class StageQueue:
-    """The queue, the calls at work and the results held of one stage worker."""
+    """The queued pieces, running calls and held results of one stage worker."""
 
     capacity: StageCapacity
     counters: QueueCounters = field(default_factory=QueueCounters)
@@ -87,21 +87,21 @@
     _calls: list[StageCall] = field(default_factory=list)
     _held: dict[str, _HeldResult] = field(default_factory=dict)
     _submitted: int = 0
-    _smallest_short: float = float("inf")
+    _smallest_refused: float = float("inf")
 
     @property
     def waiting(self) -> int:
-        """Return the number of pieces that wait."""
+        """Return the number of queued pieces."""
         return len(self._queue)
 
     @property
     def at_work(self) -> int:
-        """Return the number of calls at work."""
+        """Return the number of running calls."""
         return len(self._calls)
 
     @property
     def room_used(self) -> float:
-        """Return the bytes held by results, those of calls at work included."""
+        """Return the bytes occupied by results, including those of running calls."""
         working = sum(
             stage_item.result_bytes for call in self._calls for stage_item in call.stage_items
         )
@@ -109,40 +109,40 @@
 
     @property
     def room_wanted(self) -> float:
-        """Return the bytes that the waiting pieces will hold."""
+        """Return the bytes that the results of the queued pieces will occupy."""
         return sum(stage_item.result_bytes for stage_item in self._queue)
 
     @property
     def short_of_room(self) -> bool:
-        """Return whether pieces wait, and with results fill much of the room."""
-        spoken_for = self.room_used + self.room_wanted
-        return bool(self._queue) and spoken_for > SHORT_ROOM_SHARE * self.capacity.room_bytes
+        """Return whether pieces wait whose results, with existing ones, fill much of the room."""
+        room_needed = self.room_used + self.room_wanted
+        return bool(self._queue) and room_needed > SHORT_OF_ROOM_SHARE * self.capacity.room_bytes
 
     @property
     def finds_room(self) -> bool:
-        """Return whether the worker has found room for all of its calls' results lately."""
+        """Return whether the room recently sufficed for all results of the worker's calls."""
         return self.usable_room >= 1.0
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing waits, works or is held."""
+        """Return whether there are no queued pieces, running calls or held results."""
         return not (self._queue or self._calls or self._held)
 
     def submit(self, stage_item: StageItem) -> None:
-        """Queue a piece behind all that are as urgent."""
+        """Queue a piece after all pieces of equal urgency."""
         self._submitted += 1
         stage_item.sequence = self._submitted
         self._queue.append(stage_item)
         self._queue.sort(key=_queue_order)
 
     def withdraw(self, stage_item: StageItem, now: float) -> None:
-        """Take a piece out whose call has ended; one at work is only marked."""
+        """Mark a piece whose call has ended as abandoned, and remove it if it is still queued."""
         stage_item.abandoned_at = now
         if stage_item in self._queue:
             self._queue.remove(stage_item)
 
     def take_late(self, now: float) -> list[StageItem]:
-        """Remove and return the pieces that are no longer worth starting."""
+        """Remove and return the pieces whose latest useful start has passed."""
         late = [stage_item for stage_item in self._queue if stage_item.start_by <= now]
         for stage_item in late:
             self._queue.remove(stage_item)
@@ -150,29 +150,29 @@
         return late
 
     def take_all(self) -> list[StageItem]:
-        """Remove and return every piece that waits."""
+        """Remove and return all queued pieces."""
         waiting, self._queue = self._queue, []
         return waiting
 
     def queued(self) -> tuple[StageItem, ...]:
-        """Return the pieces that wait, the most urgent first."""
+        """Return the queued pieces, the most urgent first."""
         return tuple(self._queue)
 
     def take(self, stage_item: StageItem) -> None:
-        """Remove a piece that another queue takes over."""
+        """Remove a piece that is moved to another queue."""
         self._queue.remove(stage_item)
 
     def may_start(self, now: float) -> bool:
-        """Return whether the worker would take a call now."""
+        """Return whether a call can be sent to the worker now."""
         return now >= self.blocked_until and len(self._calls) < self.capacity.slots
 
     def next_call(self, now: float) -> StageCall | None:
-        """Start a call with as many pieces as batch and room allow, or return ``None``."""
-        self._expire(now)
+        """Start a call with as many pieces as batch size and room allow, or return ``None``."""
+        self._remove_expired_results(now)
         if not self.may_start(now):
             return None
         room = self.capacity.room_bytes * self.usable_room - self.room_used
-        queue = self._in_turn(now)
+        queue = self._in_start_order(now)
         batch = fill_batch(queue, self.capacity.batch, room, self.capacity.room_bytes)
         if not batch:
             if self._queue:
@@ -187,74 +187,74 @@
         return call
 
     def call_seconds(self, pieces: int) -> float:
-        """Return the expected time of a call with this many pieces."""
+        """Return the expected duration of a call with this many pieces, in seconds."""
         stated = self.capacity.call_seconds + pieces * self.capacity.piece_seconds
         return stated * self.pace
 
     def end_call(self, call: StageCall, results: list[PieceResult] | None, now: float) -> None:
-        """Take a call's results; ``None`` means that it gave none.
+        """Record the end of a call and its results; ``None`` means that it returned none.
 
-        Results of abandoned pieces are held too until they are freed.
+        Results of abandoned pieces also occupy room until they are freed.
         """
         self._calls.remove(call)
         if results is None:
             return
-        self._learn_pace(call, now)
-        short, smallest = 0, float("inf")
+        self._update_pace(call, now)
+        refused_pieces, smallest_refused = 0, float("inf")
         for stage_item, result in zip(call.stage_items, results, strict=True):
             if result.outcome is PieceOutcome.DONE:
-                self._hold(result.handle, stage_item.result_bytes, now)
+                self._hold_result(result.handle, stage_item.result_bytes, now)
             elif result.outcome is PieceOutcome.NO_ROOM:
-                short += 1
-                smallest = min(smallest, stage_item.result_bytes)
-        self.counters.no_room += short
-        self._learn_room(short)
-        if short:
-            self._hold_unknown(smallest, now)
+                refused_pieces += 1
+                smallest_refused = min(smallest_refused, stage_item.result_bytes)
+        self.counters.no_room += refused_pieces
+        self._update_usable_room(refused_pieces)
+        if refused_pieces:
+            self._hold_unknown_results(smallest_refused, now)
 
     def put_back(self, stage_items: list[StageItem]) -> None:
-        """Queue pieces again that their worker turned away unrun, in their old order."""
+        """Requeue pieces that the worker refused without running them, in their original order."""
         self._queue.extend(stage_item for stage_item in stage_items if not stage_item.abandoned)
         self._queue.sort(key=_queue_order)
 
     def block(self, now: float, seconds: float) -> None:
-        """Send nothing for a while: the worker said that it is full."""
+        """Send no calls for ``seconds``: the worker is full, failed, or at its rate limit."""
         self.blocked_until = max(self.blocked_until, now + seconds)
 
     def free(self, handle: str, now: float) -> None:
-        """Give up a result's room."""
+        """Release the room of a result and update the mean hold time."""
         held = self._held.pop(handle, None)
         if held is not None:
-            self.mean_hold += HOLD_WEIGHT * ((now - held.made_at) - self.mean_hold)
+            self.mean_hold += HOLD_WEIGHT * ((now - held.completed_at) - self.mean_hold)
 
     def forecast(self, now: float, urgency: Urgency, pieces: int, size: float) -> QueueForecast:
         """Return when ``pieces`` of ``size`` bytes each would start and end.
 
-        The last of them counts. Room is forecast by the mean time that results hold it.
+        The last piece determines both. The wait for room is based on the mean hold time.
         """
         limit = now + self.call_seconds(1)
-        own_order = (urgency.due < limit, urgency)
+        new_piece_order = (urgency.due < limit, urgency)
         ahead = [
             stage_item
             for stage_item in self._queue
-            if (stage_item.urgency.due < limit, stage_item.urgency) <= own_order
+            if (stage_item.urgency.due < limit, stage_item.urgency) <= new_piece_order
         ]
         position = len(ahead) + pieces
         calls_before = (position - 1) // self.capacity.batch
-        full = self.call_seconds(self.capacity.batch)
-        between = max(full / self.capacity.slots, self.least_interval)
-        start = self.free_in(now) + calls_before * between
-        start = max(start, self._room_delay(ahead, pieces, size))
-        last = position - calls_before * self.capacity.batch
-        behind = min(self.capacity.batch, last + max(0, len(self._queue) - len(ahead)))
-        return QueueForecast(start, start + self.call_seconds(behind))
+        full_call_seconds = self.call_seconds(self.capacity.batch)
+        call_interval = max(full_call_seconds / self.capacity.slots, self.least_interval)
+        start = self.free_in(now) + calls_before * call_interval
+        start = max(start, self._room_wait(ahead, pieces, size))
+        last_place = position - calls_before * self.capacity.batch
+        batch_size = min(self.capacity.batch, last_place + max(0, len(self._queue) - len(ahead)))
+        return QueueForecast(start, start + self.call_seconds(batch_size))
 
     def ranks_waiting(self) -> list[tuple[int, int]]:
-        """Return the ranks that wait, the most urgent first."""
+        """Return the ranks of the queued pieces, the most urgent first."""
         return sorted({stage_item.urgency.rank for stage_item in self._queue})
 
     def next_event_at(self, now: float) -> float | None:
-        """Return when the queue next changes by itself: a late piece, a result, a block."""
+        """Return when a piece next becomes overdue, a result expires or a block ends."""
         if not self._queue:
             return None
         times = [stage_item.start_by for stage_item in self._queue]
@@ -264,15 +264,15 @@
         return min((at for at in times if at > now), default=None)
 
     def validate(self) -> None:
-        """Check the invariants that hold between calls."""
+        """Assert the invariants that hold between method calls."""
         assert len(self._calls) <= self.capacity.slots
         assert all(len(call.stage_items) <= self.capacity.batch for call in self._calls)
         assert self.room_used <= self.capacity.room_bytes + 1e-6
 
-    def _in_turn(self, now: float) -> list[StageItem]:
-        """Return the queue with the pieces last that end late whatever is done.
+    def _in_start_order(self, now: float) -> list[StageItem]:
+        """Return the queue, with the pieces last that would finish late even if started now.
 
-        Serving what is late already, because it is due first, would make the rest late.
+        Running these first, because they are due earliest, would make the others late as well.
         """
         limit = now + self.call_seconds(1)
         in_time = [stage_item for stage_item in self._queue if stage_item.urgency.due >= limit]
@@ -280,14 +280,14 @@
         return in_time + late
 
     def free_in(self, now: float) -> float:
-        """Return in how many seconds the worker can start a call."""
+        """Return the seconds until the worker can start a call."""
         wait = max(0.0, self.blocked_until - now)
         if len(self._calls) < self.capacity.slots:
             return wait
         ends = [call.started_at + call.expected_seconds - now for call in self._calls]
         return max(wait, 0.0, min(ends))
 
-    def _room_delay(self, ahead: list[StageItem], pieces: int, size: float) -> float:
+    def _room_wait(self, ahead: list[StageItem], pieces: int, size: float) -> float:
         wanted = (
             self.room_used + sum(stage_item.result_bytes for stage_item in ahead) + pieces * size
         )
@@ -297,47 +297,47 @@
         turnover = self.mean_hold + self.call_seconds(self.capacity.batch)
         return turnover * missing / self.capacity.room_bytes
 
-    def _hold(self, handle: str, size: float, now: float) -> None:
+    def _hold_result(self, handle: str, size: float, now: float) -> None:
         self._held[handle] = _HeldResult(size, now, now + self.capacity.result_seconds)
 
-    def _hold_unknown(self, smallest: float, now: float) -> None:
-        """Count room as held by results that nobody here knows, after a piece found none.
+    def _hold_unknown_results(self, smallest_refused: float, now: float) -> None:
+        """Reserve room for unknown results, after a piece was refused for lack of room.
 
-        They are those of calls whose answer was lost, and of owners before this one. What
-        is left is less than the smallest piece that was turned away; smaller ones may fit.
+        They belong to calls whose answer never arrived, and to previous owners of the queue. The
+        remaining room is less than the smallest refused piece; smaller pieces may fit.
         """
-        self._smallest_short = smallest
-        rest = self.capacity.room_bytes * self.usable_room - self.room_used
-        rest -= SMALLER_SHARE * smallest
-        if rest > 0:
-            self._held[UNKNOWN_HANDLE] = _HeldResult(rest, now, now + UNKNOWN_HOLD_SECONDS)
+        self._smallest_refused = smallest_refused
+        unknown_bytes = self.capacity.room_bytes * self.usable_room - self.room_used
+        unknown_bytes -= FREE_SHARE_OF_REFUSED_SIZE * smallest_refused
+        if unknown_bytes > 0:
+            self._held[UNKNOWN_HANDLE] = _HeldResult(unknown_bytes, now, now + UNKNOWN_HOLD_SECONDS)
 
     def take_free_room(self, free_bytes: float, now: float) -> None:
-        """Take what the worker says is free; the rest that is not known here is unknown's.
+        """Apply the free room that a worker reports; unexplained use counts as unknown results.
 
-        An owner that has just taken over knows none of the results that hold room. A piece
-        that the worker has just turned away is not sent again at once, whatever it reports.
+        A new owner knows none of the results that occupy room. A piece that the worker has just
+        refused is not resent immediately, even if the worker reports enough free room.
         """
         self._held.pop(UNKNOWN_HANDLE, None)
-        free = min(free_bytes, SMALLER_SHARE * self._smallest_short)
-        self._smallest_short = float("inf")
+        free = min(free_bytes, FREE_SHARE_OF_REFUSED_SIZE * self._smallest_refused)
+        self._smallest_refused = float("inf")
         unknown = self.capacity.room_bytes - free - self.room_used
         if unknown > 0:
             expires_at = now + REPORTED_HOLD_SECONDS
             self._held[UNKNOWN_HANDLE] = _HeldResult(unknown, now, expires_at)
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired_results(self, now: float) -> None:
         for handle in [key for key, held in self._held.items() if held.expires_at <= now]:
             del self._held[handle]
 
-    def _learn_room(self, short: int) -> None:
-        """Use less of the room after a piece found none: stated sizes are rough."""
-        if short:
-            self.usable_room = max(LEAST_USABLE_ROOM, self.usable_room - ROOM_STEP_DOWN)
+    def _update_usable_room(self, refused_pieces: int) -> None:
+        """Reduce the usable room after a piece found none: stated sizes are estimates."""
+        if refused_pieces:
+            self.usable_room = max(MIN_USABLE_ROOM_SHARE, self.usable_room - USABLE_ROOM_DECREASE)
         else:
-            self.usable_room = min(1.0, self.usable_room + ROOM_STEP_UP)
+            self.usable_room = min(1.0, self.usable_room + USABLE_ROOM_INCREASE)
 
-    def _learn_pace(self, call: StageCall, now: float) -> None:
+    def _update_pace(self, call: StageCall, now: float) -> None:
         stated = self.capacity.call_seconds + len(call.stage_items) * self.capacity.piece_seconds
         if stated <= 0:
             return
--- a/src/corkcrank/scheduling/work_stealing.py
+++ b/src/corkcrank/scheduling/work_stealing.py
@@ -1,4 +1,4 @@
-"""Work stealing: which waiting pieces a free worker takes over from busy ones of its pool."""
+"""Work stealing: selects waiting pieces that a free worker takes from busy ones of its pool."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,36 +9,36 @@
 
 @dataclass(frozen=True, slots=True)
 class StolenPiece:
-    """A piece that is taken over, and the queue in which it waited."""
+    """A piece to move to another worker, with the queue in which it waits."""
 
     queue: StageQueue
     stage_item: StageItem
 
 
 def pieces_to_steal(
-    free: StageQueue, others: Sequence[StageQueue], now: float
+    free_queue: StageQueue, other_queues: Sequence[StageQueue], now: float
 ) -> tuple[StolenPiece, ...]:
-    """Return waiting pieces that end earlier at the free queue, the most urgent first.
+    """Return waiting pieces that would finish earlier at the free queue, the most urgent first.
 
-    A queue that can start a call itself keeps its pieces, and a slow worker takes none that
-    its sibling would end sooner.
+    Nothing is taken from a queue that can start a call itself. A slow worker takes no piece
+    that the worker of its current queue would finish sooner.
     """
-    spare = free.capacity.batch - free.waiting
-    if spare <= 0 or not free.may_start(now):
+    free_places = free_queue.capacity.batch - free_queue.waiting
+    if free_places <= 0 or not free_queue.may_start(now):
         return ()
-    offered = [
+    candidates = [
         StolenPiece(queue, stage_item)
-        for queue in others
+        for queue in other_queues
         if not queue.may_start(now)
         for stage_item in queue.queued()
     ]
-    offered.sort(key=lambda piece: piece.stage_item.urgency)
+    candidates.sort(key=lambda piece: piece.stage_item.urgency)
     taken: list[StolenPiece] = []
-    for piece in offered:
-        here = free.call_seconds(free.waiting + len(taken) + 1)
-        there = piece.queue.free_in(now) + piece.queue.call_seconds(1)
-        if here < there:
+    for piece in candidates:
+        seconds_if_moved = free_queue.call_seconds(free_queue.waiting + len(taken) + 1)
+        seconds_if_kept = piece.queue.free_in(now) + piece.queue.call_seconds(1)
+        if seconds_if_moved < seconds_if_kept:
             taken.append(piece)
-        if len(taken) == spare:
+        if len(taken) == free_places:
             break
     return tuple(taken)
--- a/tests/scheduling/fleet_play.py
+++ b/tests/scheduling/fleet_play.py
@@ -1,9 +1,9 @@
-"""Plays load against real nodes on a virtual clock, without a network.
+"""Simulates load on real nodes with a virtual clock and without a network.
 
-Each node is a real :class:`Node`. Only what touches sockets is replaced: datagrams, questions
-between nodes, calls to stage workers and to engines. The workers' times are those that the
-configuration states, so what callers get follows from admission, placing and queueing alone.
-Seconds and bytes throughout; a play with the same seed repeats.
+Each node is a real :class:`Node`. Only code that uses sockets is replaced: datagrams, requests
+between nodes, calls to stage workers and to engines. Workers take the times that the
+configuration states, so the results depend only on admission, placement and queueing.
+Units are seconds and bytes; a simulation with the same seed repeats exactly.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from played_network import PlayedEngine, PlayedWorker, replace_network
+from played_network import SimulatedEngine, SimulatedWorker, replace_network
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.node_settings import (
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True)
 class PlayedRoute:
-    """Calls of one route: how many a second, and of what shape.
+    """Call rate, in calls per second, and call shape of one route.
 
-    ``shared`` gives for each shared part of a prompt its tokens and how many there are;
-    ``work`` is the part of the stated time that a piece of each stage takes.
+    ``shared`` gives for each shared part of a prompt its tokens and its number of variants;
+    ``work`` is the share of the stated time that a piece of each stage takes.
     """
 
     route: OpaqueRoute
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """More calls of a route, or of all (``""``), for a time."""
+    """A temporary rise by ``factor`` in the calls of a route, or of all routes (``""``)."""
 
     at: float
     seconds: float
@@ -76,10 +76,10 @@
 
 @dataclass
 class Play:
-    """One deployment, its load, and how news travels in it.
+    """A deployment, its load, and the interval of its heartbeats.
 
-    ``slowness`` gives by worker how many times the stated time its calls take, ``limits`` the
-    requests a second that an engine names in its answers.
+    ``slowness`` gives by worker the ratio of actual to stated call time, ``limits`` the rate
+    limit in requests per second that an engine states in its answers.
     """
 
     configuration: OpaqueConfiguration
@@ -97,7 +97,7 @@
 
 @dataclass
 class Outcomes:
-    """What callers of one route got, by their first try; ``held`` are seconds for nothing."""
+    """Call outcomes of one route; ``held`` are the seconds that calls waited before refusal."""
 
     asked: int = 0
     in_time: int = 0
@@ -106,18 +106,18 @@
     refused_again: int = 0
     served_after_refusal: int = 0
     in_time_after_refusal: int = 0
-    refused_beside_free: int = 0
+    refused_while_workers_free: int = 0
     failed: int = 0
     held: float = 0.0
     by_second: Counter[tuple[int, str]] = field(default_factory=Counter)
 
     @property
     def in_time_share(self) -> float:
-        """Return the part of the callers served in time, after a refusal too."""
+        """Return the share of callers served in time, including those refused once before."""
         return self.in_time / max(1, self.asked)
 
 
-class _Clock:
+class _VirtualClock:
     def __init__(self) -> None:
         self.now = 1000.0
 
@@ -126,55 +126,55 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Waits for nothing: the clock goes on to the next timer instead."""
+    """Advances the virtual clock to the next timer instead of waiting."""
 
-    def __init__(self, virtual: _Clock) -> None:
+    def __init__(self, virtual: _VirtualClock) -> None:
         super().__init__()
         self._clock = virtual
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("nothing is scheduled any more")
+            raise RuntimeError("the event loop has no timer; the simulation cannot continue")
         self._clock.now += max(0.0, timeout)
         return super().select(0)
 
 
 class World:
-    """Every node, worker and engine of a play, and what stands for the network."""
+    """The nodes, workers and engines of a simulation, and its replacement for the network."""
 
-    def __init__(self, play: Play) -> None:
-        self.play = play
-        self.random = random.Random(play.seed)
+    def __init__(self, scenario: Play) -> None:
+        self.scenario = scenario
+        self.random = random.Random(scenario.seed)
         self.nodes: dict[str, node.Node] = {}
         self.links: dict[str, Callable[[bytes], None]] = {}
-        self.workers: dict[str, PlayedWorker] = {}
-        self.engines: dict[str, PlayedEngine] = {}
+        self.workers: dict[str, SimulatedWorker] = {}
+        self.engines: dict[str, SimulatedEngine] = {}
         self.first_event_at: dict[str, float] = {}
         self.sent_at: dict[str, list[float]] = {}
-        self.outcomes = {item.route.name: Outcomes() for item in play.routes}
-        self._routes = {item.route.name: item for item in play.routes}
-        self._number = 0
+        self.outcomes = {item.route.name: Outcomes() for item in scenario.routes}
+        self._routes = {item.route.name: item for item in scenario.routes}
+        self._last_number = 0
 
     def next_number(self) -> int:
-        """Return a number that was not given before."""
-        self._number += 1
-        return self._number
+        """Return a number that was not returned before."""
+        self._last_number += 1
+        return self._last_number
 
-    def work_of(self, call_id: str, stage: int) -> float:
-        """Return the part of the stated time that a piece of a call's stage takes."""
+    def work_share(self, call_id: str, stage: int) -> float:
+        """Return the share of the stated time that a piece of a call's stage takes."""
         return self._routes[call_id.split(":")[0]].work[stage]
 
     def build(self) -> None:
-        """Make the workers, the engines and the nodes, and start the nodes' loops."""
-        for record in self.play.workers:
-            profile = self.play.configuration.service(record.service)
+        """Create the workers, the engines and the nodes, and introduce the nodes to each other."""
+        for record in self.scenario.workers:
+            profile = self.scenario.configuration.service(record.service)
             assert profile is not None
             if profile.engine is not None:
-                self.engines[record.worker_id] = PlayedEngine(profile.engine.cache_tokens)
+                self.engines[record.worker_id] = SimulatedEngine(profile.engine.cache_tokens)
             elif profile.stage is not None:
-                slowness = self.play.slowness.get(record.worker_id, 1.0)
-                self.workers[record.worker_id] = PlayedWorker(self, profile.stage, slowness)
-        for zone_number, (zone, count) in enumerate(self.play.nodes_by_zone.items()):
+                slowness = self.scenario.slowness.get(record.worker_id, 1.0)
+                self.workers[record.worker_id] = SimulatedWorker(self, profile.stage, slowness)
+        for zone_number, (zone, count) in enumerate(self.scenario.nodes_by_zone.items()):
             for number in range(count):
                 self._add_node(f"{zone}-{number}", zone, f"10.{zone_number}.0.{number + 1}")
         addresses = list(self.nodes)
@@ -195,59 +195,59 @@
         statements = PlatformStatementCodec()
         ports = PlatformPorts(nothing, statements, nothing, nothing, nothing, "/")
         seed = self.random.random()
-        made = node.Node(settings, ports, DecisionLog(None, name), random.Random(seed))
-        made.mirror.adopt(self.play.configuration, "play")
-        made.mirror.take_workers(self.play.workers, 1, "play")
-        made.life.fire(ProcessTrigger.SERVE)
-        made.fleet.own_phase = Phase.SERVING
-        self.nodes[process.peer_address] = made
+        created = node.Node(settings, ports, DecisionLog(None, name), random.Random(seed))
+        created.mirror.adopt(self.scenario.configuration, "play")
+        created.mirror.take_workers(self.scenario.workers, 1, "play")
+        created.life.fire(ProcessTrigger.SERVE)
+        created.fleet.own_phase = Phase.SERVING
+        self.nodes[process.peer_address] = created
 
     async def run(self) -> None:
-        """Have callers come for the time of the play, and wait for the last of them."""
+        """Run the heartbeat loops, start callers as they arrive, and wait until all have ended."""
         loops = []
         for item in self.nodes.values():
             await item.heartbeats.open()
             beats = item.heartbeats
             loops += [asyncio.create_task(work()) for work in (beats.beat, beats.note_running)]
-            if self.play.limits:
+            if self.scenario.limits:
                 loops.append(asyncio.create_task(beats.pass_on()))
-        await asyncio.sleep(self.play.warm_up)
+        await asyncio.sleep(self.scenario.warm_up)
         started = time.monotonic()
         callers: set[asyncio.Task[None]] = set()
         for at, item in self._arrivals():
             await asyncio.sleep(max(0.0, started + at - time.monotonic()))
-            callers.add(asyncio.create_task(self._caller(item, int(at))))
+            callers.add(asyncio.create_task(self._run_caller(item, int(at))))
         await asyncio.gather(*callers)
         for loop in loops:
             loop.cancel()
 
     def _arrivals(self) -> list[tuple[float, PlayedRoute]]:
         arrivals = []
-        for item in self.play.routes:
+        for item in self.scenario.routes:
             at = 0.0
-            while at < self.play.seconds:
-                at += self.random.expovariate(item.rate * self._factor(item.route.name, at))
+            while at < self.scenario.seconds:
+                at += self.random.expovariate(item.rate * self._burst_factor(item.route.name, at))
                 arrivals.append((at, item))
         return sorted(arrivals, key=lambda pair: pair[0])
 
-    def _factor(self, route: str, at: float) -> float:
+    def _burst_factor(self, route: str, at: float) -> float:
         factor = 1.0
-        for burst in self.play.bursts:
+        for burst in self.scenario.bursts:
             if burst.at <= at < burst.at + burst.seconds and burst.route in ("", route):
                 factor *= burst.factor
         return factor
 
-    async def _caller(self, item: PlayedRoute, second: int) -> None:
-        """Ask once, and once more after a refusal, as the answer says when."""
+    async def _run_caller(self, item: PlayedRoute, second: int) -> None:
+        """Send a call; after a refusal, retry once at the time that the answer states."""
         outcomes, route = self.outcomes[item.route.name], item.route
         outcomes.asked += 1
-        shape = self._shape(item)
+        shape = self._random_shape(item)
         asked_at = time.monotonic()
         for attempt in range(2):
-            began = time.monotonic()
-            left = route.timeout - (began - asked_at)
-            call = self._call(item, shape, left)
-            answer = await self._serve(call)
+            attempt_started_at = time.monotonic()
+            left = route.timeout - (attempt_started_at - asked_at)
+            call = self._build_call(item, shape, left)
+            answer = await self._send_call(call)
             if not isinstance(answer, Refusal):
                 late = self.first_event_at[call.call_id] - asked_at > route.objective
                 outcomes.late += late
@@ -256,35 +256,37 @@
                 outcomes.in_time_after_refusal += attempt and not late
                 outcomes.by_second[second, "late" if late else "in time"] += 1
                 return
-            outcomes.held += time.monotonic() - began
+            outcomes.held += time.monotonic() - attempt_started_at
             if answer.retry_after is None:
                 outcomes.failed += 1
                 return
             outcomes.refused += attempt == 0
             outcomes.refused_again += attempt
-            outcomes.refused_beside_free += self._all_free(call)
+            outcomes.refused_while_workers_free += self._all_stages_free(call)
             if attempt == 0:
                 outcomes.by_second[second, "refused"] += 1
                 left = route.timeout - (time.monotonic() - asked_at)
                 await asyncio.sleep(min(answer.retry_after, left / 3))
 
-    def _all_free(self, call: OpaqueCall) -> bool:
-        """Return whether each stage of a call has a free worker, and no piece waits there."""
+    def _all_stages_free(self, call: OpaqueCall) -> bool:
+        """Return whether each stage of a call has a free worker and no queued pieces."""
         stages = zip(call.route.stages, call.envelope.piece_counts, strict=False)
-        return all(self._free(stage.service) for stage, count in stages if count)
+        return all(self._service_is_free(stage.service) for stage, count in stages if count)
 
-    def _free(self, service: str) -> bool:
+    def _service_is_free(self, service: str) -> bool:
         queues = [queue for item in self.nodes.values() for queue in item.stage_owner.queues()]
-        workers = [record.worker_id for record in self.play.workers if record.service == service]
+        workers = [
+            record.worker_id for record in self.scenario.workers if record.service == service
+        ]
         waiting = sum(queue.waiting for name, queue in queues if name in workers)
         return not waiting and not all(self.workers[name].busy for name in workers)
 
-    async def _serve(self, call: OpaqueCall) -> object:
+    async def _send_call(self, call: OpaqueCall) -> object:
         chosen = self.random.choice(list(self.nodes.values()))
         nothing: Any = None
         return await stream_run.StreamRun(call, chosen.services, nothing).run()
 
-    def _shape(self, item: PlayedRoute) -> tuple[tuple[int, ...], PromptShape]:
+    def _random_shape(self, item: PlayedRoute) -> tuple[tuple[int, ...], PromptShape]:
         counts = [max(1, round(self.random.gauss(mean, mean / 3))) for mean in item.pieces]
         if counts and self.random.random() > item.first_stage_share:
             counts[0] = 0
@@ -295,7 +297,7 @@
         parts.append(PrefixPart(f"own{self.next_number()}", item.own_tokens))
         return tuple(counts), PromptShape("m", item.own_tokens, item.events, tuple(parts))
 
-    def _call(
+    def _build_call(
         self, item: PlayedRoute, shape: tuple[tuple[int, ...], PromptShape], left: float
     ) -> OpaqueCall:
         counts, prompt = shape
@@ -325,22 +327,22 @@
         )
 
 
-def run_play(play: Play, patch: pytest.MonkeyPatch) -> World:
-    """Play a load from its begin to its end; returns within seconds of processor time."""
-    virtual = _Clock()
+def run_play(scenario: Play, patch: pytest.MonkeyPatch) -> World:
+    """Run a whole simulation; this takes seconds of processor time."""
+    virtual = _VirtualClock()
     patch.setattr(time, "monotonic", virtual)
     patch.setattr(clock, "now", virtual)
     loop = asyncio.SelectorEventLoop(_JumpingSelector(virtual))
-    world = World(play)
-    replace_network(world, patch)
+    simulation = World(scenario)
+    replace_network(simulation, patch)
 
     async def whole() -> None:
-        world.build()
-        await world.run()
+        simulation.build()
+        await simulation.run()
 
     try:
         loop.run_until_complete(whole())
     finally:
         loop.close()
         patch.undo()
-    return world
+    return simulation
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -1,4 +1,4 @@
-"""What stands for workers, engines and the network in plays of a load."""
+"""Simulated workers, engines and network for the load simulations of ``fleet_play``."""
 
 import asyncio
 from collections.abc import Callable
@@ -41,60 +41,60 @@
     from fleet_play import World
 
 HOP_SECONDS = 0.0006
-"""One way between two nodes, or a node and a worker."""
+"""One-way latency between two nodes, or between a node and a worker."""
 
-HANDLING_SECONDS = 0.002
-"""A node's time for a question of another."""
+REQUEST_HANDLING_SECONDS = 0.002
+"""Time that a node takes to handle a request of another node."""
 
-TOKENS_A_SECOND = 32_400.0
-"""What an engine reads of prompts."""
+PROMPT_TOKENS_PER_SECOND = 32_400.0
+"""Prompt tokens that an engine reads per second."""
 
-FIRST_SECONDS = 0.064
-"""An engine's time from a prompt that is read to the first event."""
+FIRST_EVENT_SECONDS = 0.064
+"""Time from the end of reading a prompt to the first event."""
 
 EVENT_SECONDS = 0.02
 """Time between two events of a stream."""
 
 
-class PlayedWorker:
-    """A stage worker: one call at a time, a queue of two, room for results."""
+class SimulatedWorker:
+    """A stage worker: runs one call at a time, and has a bounded queue and room for results."""
 
-    def __init__(self, world: "World", capacity: StageCapacity, slowness: float) -> None:
-        self._world = world
+    def __init__(self, simulation: "World", capacity: StageCapacity, slowness: float) -> None:
+        self._simulation = simulation
         self._slowness = slowness
         self._capacity = capacity
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._queued = 0
-        self._room: dict[str, tuple[float, float]] = {}
+        self._results: dict[str, tuple[float, float]] = {}
         self.busy_seconds = 0.0
         self.calls = 0
         self.pieces = 0
 
-    async def ask(self, call: StageCall) -> list[PieceResult] | None:
+    async def send_call(self, call: StageCall) -> list[PieceResult] | None:
         await asyncio.sleep(HOP_SECONDS)
         if self._queued > self._capacity.queue:
             return None
         self._queued += 1
         try:
-            async with self._turn:
-                return await self._make(call)
+            async with self._lock:
+                return await self._run_call(call)
         finally:
             self._queued -= 1
 
-    async def _make(self, call: StageCall) -> list[PieceResult]:
+    async def _run_call(self, call: StageCall) -> list[PieceResult]:
         results, seconds = [], self._capacity.call_seconds
         now = clock.now()
-        self._room = {key: item for key, item in self._room.items() if item[1] > now}
+        self._results = {key: item for key, item in self._results.items() if item[1] > now}
         for stage_item in call.stage_items:
-            used = sum(size for size, _ in self._room.values())
+            used = sum(size for size, _ in self._results.values())
             if used + stage_item.result_bytes > self._capacity.room_bytes:
                 results.append(PieceResult(PieceOutcome.NO_ROOM))
                 continue
-            handle = f"h{self._world.next_number()}"
-            work = self._world.work_of(stage_item.order.call_id, stage_item.order.stage)
+            handle = f"h{self._simulation.next_number()}"
+            work = self._simulation.work_share(stage_item.order.call_id, stage_item.order.stage)
             seconds += work * self._capacity.piece_seconds
             until = now + seconds + self._capacity.result_seconds
-            self._room[handle] = (stage_item.result_bytes, until)
+            self._results[handle] = (stage_item.result_bytes, until)
             results.append(PieceResult(PieceOutcome.DONE, handle))
         seconds *= self._slowness
         self.busy_seconds += seconds
@@ -107,66 +107,69 @@
     def busy(self) -> bool:
         return self._queued > 0
 
-    def free(self, handles: list[str]) -> None:
+    def free_results(self, handles: list[str]) -> None:
         for handle in handles:
-            self._room.pop(handle, None)
+            self._results.pop(handle, None)
 
     @property
     def free_bytes(self) -> float:
-        return self._capacity.room_bytes - sum(size for size, _ in self._room.values())
+        return self._capacity.room_bytes - sum(size for size, _ in self._results.values())
 
 
-class PlayedEngine:
-    """Reads prompts one after the other, and keeps their shared parts."""
+class SimulatedEngine:
+    """An engine that reads prompts one after the other and caches their shared parts."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._memory = PrefixMemory(capacity_tokens)
         self._read_until = 0.0
 
     def read(self, prompt: PromptShape) -> float:
-        """Return in how many seconds the first event of a prompt comes."""
+        """Read a prompt; returns the seconds until its first event."""
         now = clock.now()
         unread = prompt.whole_tokens - self._memory.cached_tokens(prompt.shared_parts)
         self._memory.touch(prompt.shared_parts, now)
-        self._read_until = max(now, self._read_until) + unread / TOKENS_A_SECOND
-        return self._read_until - now + FIRST_SECONDS
+        self._read_until = max(now, self._read_until) + unread / PROMPT_TOKENS_PER_SECOND
+        return self._read_until - now + FIRST_EVENT_SECONDS
 
 
-def replace_network(world: "World", patch: pytest.MonkeyPatch) -> None:
-    """Put the world in the place of sockets."""
-    _slow_heartbeats(world, patch)
-    _replace_links(world, patch)
-    _replace_peers(world, patch)
-    _replace_stage_workers(world, patch)
-    _replace_engines(world, patch)
+def replace_network(simulation: "World", patch: pytest.MonkeyPatch) -> None:
+    """Replace sockets by the simulated environment."""
+    _set_heartbeat_interval(simulation, patch)
+    _replace_links(simulation, patch)
+    _replace_peers(simulation, patch)
+    _replace_stage_workers(simulation, patch)
+    _replace_engines(simulation, patch)
 
 
-def _slow_heartbeats(world: "World", patch: pytest.MonkeyPatch) -> None:
-    members = sum(world.play.nodes_by_zone.values())
-    # Heartbeats as seldom as in a fleet of the size that is played.
-    seconds = world.play.heartbeat_seconds
-    for name, longer in (("HEARTBEAT_BYTES_A_SECOND", 1.0), ("OWNER_BYTES_A_SECOND", 3.0)):
+def _set_heartbeat_interval(simulation: "World", patch: pytest.MonkeyPatch) -> None:
+    members = sum(simulation.scenario.nodes_by_zone.values())
+    # Sends heartbeats at the interval of the simulated deployment.
+    seconds = simulation.scenario.heartbeat_seconds
+    for name, size_factor in (("HEARTBEAT_BYTES_A_SECOND", 1.0), ("OWNER_BYTES_A_SECOND", 3.0)):
         patch.setattr(
-            fleet, name, longer * members * fleet.FIRST_HEARTBEAT_BYTES / seconds, raising=False
+            fleet,
+            name,
+            size_factor * members * fleet.FIRST_HEARTBEAT_BYTES / seconds,
+            raising=False,
         )
 
 
-def _replace_links(world: "World", patch: pytest.MonkeyPatch) -> None:
+def _replace_links(simulation: "World", patch: pytest.MonkeyPatch) -> None:
     class Link:
         def __init__(self, on_message: Callable[[bytes], None]) -> None:
             self._on_message = on_message
 
         async def open(self, address: str) -> None:
-            world.links[address] = self._on_message
+            simulation.links[address] = self._on_message
 
         def send(self, data: bytes, address: str) -> None:
             loop = asyncio.get_running_loop()
-            loop.call_later(HOP_SECONDS, world.links.get(address, _drop), data)
+            loop.call_later(HOP_SECONDS, simulation.links.get(address, _drop_datagram), data)
 
     patch.setattr(heartbeats, "DatagramLink", Link)
 
 
-def _replace_peers(world: "World", patch: pytest.MonkeyPatch) -> None:
+def _replace_peers(simulation: "World", patch: pytest.MonkeyPatch) -> None:
     class Peers:
         def __init__(self, on_silence: object) -> None:
             pass
@@ -174,15 +177,15 @@
         async def ask(
             self, address: str, path: str, message: bytes = b"", **options: object
         ) -> bytes:
-            await asyncio.sleep(HOP_SECONDS + HANDLING_SECONDS)
-            answer = await _answer(world.nodes[address], path, message)
+            await asyncio.sleep(HOP_SECONDS + REQUEST_HANDLING_SECONDS)
+            answer = await _handle_peer_request(simulation.nodes[address], path, message)
             await asyncio.sleep(HOP_SECONDS)
             return answer
 
     patch.setattr(node, "PeerClient", Peers)
 
 
-def _replace_stage_workers(world: "World", patch: pytest.MonkeyPatch) -> None:
+def _replace_stage_workers(simulation: "World", patch: pytest.MonkeyPatch) -> None:
     class Caller:
         def __init__(self, codec: object, client: object, statements: object) -> None:
             pass
@@ -190,26 +193,26 @@
         async def ask(
             self, worker: WorkerRecord, call: StageCall, known: dict[str, None]
         ) -> list[PieceResult] | None:
-            return await world.workers[worker.worker_id].ask(call)
+            return await simulation.workers[worker.worker_id].send_call(call)
 
         async def free(self, worker: WorkerRecord, handles: list[str]) -> None:
             await asyncio.sleep(HOP_SECONDS)
-            world.workers[worker.worker_id].free(handles)
+            simulation.workers[worker.worker_id].free_results(handles)
 
         async def report(self, worker: WorkerRecord) -> StageWorkerReport:
             await asyncio.sleep(2 * HOP_SECONDS)
-            return StageWorkerReport(world.workers[worker.worker_id].free_bytes)
+            return StageWorkerReport(simulation.workers[worker.worker_id].free_bytes)
 
     patch.setattr(node, "WorkerClient", lambda on_silence: None)
     patch.setattr(node, "StageWorkerClient", Caller)
 
 
-def _replace_engines(world: "World", patch: pytest.MonkeyPatch) -> None:
+def _replace_engines(simulation: "World", patch: pytest.MonkeyPatch) -> None:
     async def take_answer(exchanges: EngineExchanges, attempt: Attempt) -> RelayEnd:
         call = exchanges._call
         prompt = call.envelope.prompt
-        await asyncio.sleep(world.engines[attempt.worker.worker_id].read(prompt))
-        world.first_event_at[call.call_id] = clock.now()
+        await asyncio.sleep(simulation.engines[attempt.worker.worker_id].read(prompt))
+        simulation.first_event_at[call.call_id] = clock.now()
         exchanges._relay.on_first_event()
         await asyncio.sleep(prompt.tokens_out * EVENT_SECONDS)
         return RelayEnd.COMPLETE
@@ -223,9 +226,9 @@
     ) -> Attempt:
         call.may_have_run = True
         call.workers_tried.append(worker.worker_id)
-        world.sent_at.setdefault(worker.worker_id, []).append(clock.now())
-        if world.play.limits:
-            rate = world.play.limits.get(worker.worker_id)
+        simulation.sent_at.setdefault(worker.worker_id, []).append(clock.now())
+        if simulation.scenario.limits:
+            rate = simulation.scenario.limits.get(worker.worker_id)
             headers = {} if rate is None else {"Server-Limit": str(rate)}
             services.statements.hear(worker, HTTPStatus.OK, headers)
         return Attempt(worker, AttemptOutcome.ANSWERED)
@@ -235,7 +238,7 @@
     patch.setattr(engine_exchange, "attempt_call", attempt_call)
 
 
-async def _answer(target: node.Node, path: str, message: bytes) -> bytes:
+async def _handle_peer_request(target: node.Node, path: str, message: bytes) -> bytes:
     decode = msgspec.msgpack.decode
     if path == PIECES_PATH:
         return msgspec.msgpack.encode(
@@ -257,8 +260,8 @@
     raise AssertionError(path)
 
 
-def _drop(data: bytes) -> None:
-    """Lose a datagram to an address that nobody has."""
+def _drop_datagram(data: bytes) -> None:
+    """Drop a datagram to an unknown address."""
 
 
 def _nothing() -> None:
--- a/tests/scheduling/test_stage_queue.py
+++ b/tests/scheduling/test_stage_queue.py
@@ -1,4 +1,4 @@
-"""The queue before a stage worker: batches, room, lateness, and that no piece is lost."""
+"""Tests a stage worker's queue: batch forming, room, overdue pieces; no piece may be lost."""
 
 import itertools
 
@@ -43,7 +43,7 @@
     return queue
 
 
-def done(call: StageCall, names: itertools.count) -> list[PieceResult]:  # type: ignore[type-arg]
+def done_results(call: StageCall, names: itertools.count) -> list[PieceResult]:  # type: ignore[type-arg]
     return [PieceResult(PieceOutcome.DONE, f"h{next(names)}") for _ in call.stage_items]
 
 
@@ -58,12 +58,12 @@
     assert [item.order.call_id for item in call.stage_items] == ["c", "b", "a"]
 
 
-def test_piece_that_ends_late_anyway_lets_the_others_pass() -> None:
+def test_piece_that_would_finish_late_anyway_goes_last() -> None:
     small = StageCapacity(1, 0, 1, 0.2, 0.0, 60.0, 4.0)
-    hopeless, hopeful = stage_item("a", due=1.1), stage_item("b", rank=1, due=5.0)
-    call = queue_with(hopeless, hopeful, capacity=small).next_call(1.0)
+    already_late, still_in_time = stage_item("a", due=1.1), stage_item("b", rank=1, due=5.0)
+    call = queue_with(already_late, still_in_time, capacity=small).next_call(1.0)
     assert call is not None
-    assert call.stage_items == [hopeful]
+    assert call.stage_items == [still_in_time]
 
 
 def test_pieces_of_a_stage_wait_until_all_of_them_have_room() -> None:
@@ -71,7 +71,7 @@
     queue = queue_with(*(stage_item("a", piece, size=20.0) for piece in range(2)))
     first = queue.next_call(0.0)
     assert first is not None
-    queue.end_call(first, done(first, names), 0.3)
+    queue.end_call(first, done_results(first, names), 0.3)
     for piece in range(2):
         queue.submit(stage_item("b", piece, size=20.0))
     assert queue.next_call(0.3) is None
@@ -81,24 +81,24 @@
     assert len(second.stage_items) == 2
 
 
-def test_far_smaller_pieces_pass_one_that_waits_for_room() -> None:
+def test_far_smaller_pieces_overtake_one_that_waits_for_room() -> None:
     large = [stage_item("a", piece, size=20.0) for piece in range(3)]
     small, middling = stage_item("b", size=1.0, rank=1), stage_item("c", size=15.0, rank=1)
     assert fill_batch([*large, small, middling], 4, 50.0, 60.0) == [small]
 
 
-def test_forgotten_result_gives_its_room_back() -> None:
+def test_expired_result_releases_its_room() -> None:
     queue = queue_with(stage_item("a", size=60.0))
     call = queue.next_call(0.0)
     assert call is not None
-    queue.end_call(call, done(call, itertools.count()), 0.3)
+    queue.end_call(call, done_results(call, itertools.count()), 0.3)
     queue.submit(stage_item("b", size=60.0))
     assert queue.next_call(1.0) is None
     assert queue.next_event_at(1.0) == 0.3 + CAPACITY.result_seconds
     assert queue.next_call(0.3 + CAPACITY.result_seconds) is not None
 
 
-def test_lack_of_room_is_not_asked_about_again_at_once() -> None:
+def test_piece_refused_for_lack_of_room_is_not_resent_at_once() -> None:
     queue = queue_with(stage_item("a"))
     call = queue.next_call(0.0)
     assert call is not None
@@ -108,7 +108,7 @@
     assert queue.next_call(0.5) is not None
 
 
-def test_a_piece_without_room_leaves_the_rest_of_the_room_to_smaller_ones() -> None:
+def test_refused_piece_leaves_the_remaining_room_to_smaller_ones() -> None:
     one = StageCapacity(1, 0, 4, 0.2, 0.05, 60.0, 4.0)
     queue = queue_with(stage_item("large", size=20.0), capacity=one)
     call = queue.next_call(0.0)
@@ -118,7 +118,7 @@
     assert queue.next_call(0.1) is not None
 
 
-def test_forecast_counts_only_what_goes_before() -> None:
+def test_forecast_counts_only_pieces_ahead() -> None:
     one = StageCapacity(1, 0, 4, 0.2, 0.05, 1e9, 4.0)
     queue = queue_with(*(stage_item("a", piece, rank=1) for piece in range(8)), capacity=one)
     urgent = queue.forecast(0.0, Urgency((0, 0), 9.0), 1, 1.0)
@@ -132,7 +132,7 @@
     room=st.floats(0.0, 60.0),
     batch=st.integers(1, 6),
 )
-def test_batch_fits_room_and_holds_each_piece_once(
+def test_batch_fits_room_and_contains_each_piece_once(
     sizes: list[float], room: float, batch: int
 ) -> None:
     queue = [stage_item(str(number), size=size) for number, size in enumerate(sizes)]
@@ -142,8 +142,8 @@
     assert len({id(item) for item in chosen}) == len(chosen)
 
 
-class LaneMachine(RuleBasedStateMachine):
-    """Every piece is waiting, at work, or ended; the worker's bounds hold throughout."""
+class StageQueueMachine(RuleBasedStateMachine):
+    """Checks that each piece is queued, running or ended, and that the worker's bounds hold."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -188,7 +188,7 @@
         if outcome in ("none", "full"):
             self.queue.end_call(call, None, self.now)
         else:
-            results = done(call, self.names)
+            results = done_results(call, self.names)
             if outcome == "mixed":
                 results[0] = PieceResult(PieceOutcome.NO_ROOM)
             self.handles += [item.handle for item in results if item.handle]
@@ -219,10 +219,10 @@
         self.queue.validate()
 
     @invariant()
-    def nothing_is_lost(self) -> None:
+    def no_piece_is_lost(self) -> None:
         assert self.queue.waiting == len(self.waiting)
         at_work = sum(len(call.stage_items) for call in self.calls)
         assert len(self.waiting) + at_work + self.ended == len(self.stage_items)
 
 
-TestLaneMachine = LaneMachine.TestCase
+TestStageQueueMachine = StageQueueMachine.TestCase
--- a/tests/scheduling/test_work_stealing.py
+++ b/tests/scheduling/test_work_stealing.py
@@ -1,4 +1,4 @@
-"""A free worker takes over what a busy sibling would end later, and nothing else."""
+"""Tests that a free worker takes only pieces that a busy worker of its pool would finish later."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 
 
 def busy_queue(waiting: int) -> StageQueue:
-    """Return a queue whose worker has just begun a call, with pieces behind it."""
+    """Return a queue with a call started at time 0 and ``waiting`` queued pieces."""
     queue = StageQueue(CAPACITY)
     queue.submit(stage_item("at-work"))
     assert queue.next_call(0.0) is not None
@@ -29,7 +29,7 @@
     return queue
 
 
-def test_a_free_worker_takes_what_would_wait_for_a_busy_one() -> None:
+def test_a_free_worker_takes_pieces_that_wait_for_a_busy_one() -> None:
     taken = pieces_to_steal(StageQueue(CAPACITY), [busy_queue(2)], 0.0)
     assert [piece.stage_item.order.piece for piece in taken] == [0, 1]
 
@@ -47,13 +47,13 @@
     assert pieces_to_steal(StageQueue(CAPACITY), [idle], 0.0) == ()
 
 
-def test_a_slow_worker_takes_nothing_that_ends_sooner_where_it_waits() -> None:
+def test_a_slow_worker_takes_no_piece_that_would_finish_sooner_in_place() -> None:
     slow = StageQueue(CAPACITY, pace=8.0)
     assert pieces_to_steal(slow, [busy_queue(2)], 0.0) == ()
 
 
 @given(st.lists(st.integers(0, 9), max_size=4), st.integers(0, 6))
-def test_no_more_than_a_batch_is_taken_and_each_piece_once(waiting: list[int], own: int) -> None:
+def test_at_most_one_batch_is_taken_and_each_piece_once(waiting: list[int], own: int) -> None:
     free = StageQueue(CAPACITY)
     for piece in range(own):
         free.submit(stage_item("own", piece))
