--- a/src/corkcrank/node/limits/__init__.py
+++ b/src/corkcrank/node/limits/__init__.py
@@ -1,5 +1,6 @@
-"""Rate limits of workers: what holds for each, and who may send to a limited one now.
+"""Rate limits of workers: the limits in force, and grants to send a request to a limited worker.
 
-State: what this node granted to limited workers of zones that it owns, its own times at others.
-Calls workers and peers; called by whatever chooses a worker, and by peers through membership.
+State: the requests that this node granted as owner of a zone, and its local send slots at workers
+of other zones. Calls workers and peers; called by the modules that choose a worker, and by peers
+through membership.
 """
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -1,4 +1,4 @@
-"""Grants of requests to limited workers: made by their owner, asked for by every gateway."""
+"""Grants for requests to rate-limited workers: a zone's owner issues them to all gateways."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -17,12 +17,16 @@
 from corkcrank.node.workers.worker_statements import WorkerStatements
 from corkcrank.scheduling.return_times import ReturnTimes
 
-GRANT_SECONDS = 0.15
-"""Longest wait for the owner's answer; without it a gateway's own times decide."""
+GRANT_TIMEOUT_SECONDS = 0.15
+"""Timeout for the owner's reply; without a reply the gateway's local send slots decide."""
 
 
 class LimitOwner:
-    """The owner's side. Whoever asks is answered: views of the owner differ for a moment."""
+    """The owner's side of grants.
+
+    It serves every gateway, also where it does not consider itself the owner: gateways may
+    disagree about the owner for a short time.
+    """
 
     def __init__(
         self, mirror: StoreMirror, limits: WorkerLimits, statements: WorkerStatements
@@ -32,7 +36,7 @@
         self._statements = statements
 
     def grant(self, request: LimitGrantRequest) -> LimitGrant:
-        """Choose the first candidate that takes one more request now."""
+        """Grant a request to the first candidate whose limit allows one more now."""
         now = clock.now()
         self._statements.take(request.limits, "asker")
         found = (self._mirror.workers.get(worker_id) for worker_id in request.workers)
@@ -49,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitVerdict:
-    """The worker that takes a call, or in how many seconds its caller should come back."""
+    """The worker that is granted a call, or after how many seconds its caller should retry."""
 
     worker: WorkerRecord | None
     wait: float = 0.0
 
 
 class LimitGrantClient:
-    """The asker's side, for all calls of this gateway.
+    """The requesting side of grants, for all calls of this gateway.
 
-    ``on_silence`` is called with the name of an owner that did not answer.
+    ``on_silence`` is called with the name of an owner that did not reply.
     """
 
     def __init__(
@@ -82,36 +86,37 @@
     async def take(
         self, call: OpaqueCall, workers: Sequence[WorkerRecord], *, begins: bool = False
     ) -> LimitVerdict:
-        """Return which of some limited workers, the best first, takes a call.
+        """Request a grant for a call to one of some limited workers, given the best first.
 
         The owner of each zone is asked once, in the order of the zones' best workers. A call that
-        only ``begins`` asks for its turn again before it is sent.
+        only ``begins`` requests another grant before it is sent.
         """
         grants = []
         for zone in dict.fromkeys(worker.zone for worker in workers):
             candidates = [worker for worker in workers if worker.zone == zone]
-            grant = await self._take_in(zone, call, candidates, begins=begins)
+            grant = await self._request_zone_grant(zone, call, candidates, begins=begins)
             for worker in candidates:
                 if worker.worker_id == grant.worker_id:
                     return LimitVerdict(worker)
             grants.append(grant)
         now = clock.now()
         wait = min((grant.wait for grant in grants), default=0.0)
-        # Every gateway tells times to its own callers, who come to any.
+        # Each gateway gives retry times to its own callers only, but a caller may retry at any
+        # gateway, so each hands out its share of the rate.
         rate = sum(grant.rate for grant in grants) / self._fleet.share_members()
         return LimitVerdict(None, self._return_times.next(call.service, wait, rate, now))
 
-    async def _take_in(
+    async def _request_zone_grant(
         self, zone: str, call: OpaqueCall, candidates: Sequence[WorkerRecord], *, begins: bool
     ) -> LimitGrant:
         now = clock.now()
         ids = tuple(worker.worker_id for worker in candidates)
-        told = self._statements.limits.reported(now, ids)
-        request = LimitGrantRequest(call.call_id, call.service, zone, ids, told, begins)
+        limits = self._statements.limits.reported(now, ids)
+        request = LimitGrantRequest(call.call_id, call.service, zone, ids, limits, begins)
         owner = self._fleet.zone_owner(zone, call.service, now)
-        grant = await self._ask(owner, request)
+        grant = await self._ask_owner(owner, request)
         if grant is None:
-            grant = self._take_by_own_times(candidates, clock.now())
+            grant = self._grant_locally(candidates, clock.now())
         self._log.write(
             LogEvent.LIMIT_GRANTED if grant.worker_id else LogEvent.LIMIT_HELD_BACK,
             call=call.call_id,
@@ -123,22 +128,22 @@
         )
         return grant
 
-    def _take_by_own_times(self, candidates: Sequence[WorkerRecord], now: float) -> LimitGrant:
-        """Choose without an owner."""
+    def _grant_locally(self, candidates: Sequence[WorkerRecord], now: float) -> LimitGrant:
+        """Choose a worker by the local send slots, if the owner did not reply."""
         for worker in candidates:
             if self._limits.may_send(worker, now):
                 self._limits.note_sent(worker, now)
                 return LimitGrant(worker.worker_id)
         rates = [self._limits.rate(worker, now) or 0.0 for worker in candidates]
-        return LimitGrant("", GRANT_SECONDS, sum(rates))
+        return LimitGrant("", GRANT_TIMEOUT_SECONDS, sum(rates))
 
-    async def _ask(self, owner: str, request: LimitGrantRequest) -> LimitGrant | None:
+    async def _ask_owner(self, owner: str, request: LimitGrantRequest) -> LimitGrant | None:
         member = self._fleet.member(owner)
         if owner == self._fleet.own_name or member is None:
             return self._owner.grant(request)
         data = msgspec.msgpack.encode(request)
         address = member.heartbeat.address
-        body = await self._peers.ask(address, LIMIT_GRANT_PATH, data, seconds=GRANT_SECONDS)
+        body = await self._peers.ask(address, LIMIT_GRANT_PATH, data, seconds=GRANT_TIMEOUT_SECONDS)
         grant = read_answer(body, LimitGrant)
         if isinstance(grant, PeerTrouble):
             self.on_silence(owner)
--- a/src/corkcrank/node/limits/worker_limits.py
+++ b/src/corkcrank/node/limits/worker_limits.py
@@ -1,4 +1,4 @@
-"""The rates to which workers are limited: by a warm-up, or by what they name in their answers."""
+"""Computes the rate limits of workers, from their warm-ups and from their response headers."""
 
 from collections.abc import Collection
 
@@ -14,16 +14,16 @@
 )
 from corkcrank.scheduling.stated_limits import StatedLimits
 
-FORGET_SECONDS = 60.0
-"""Time after the last grant to a limited worker for which it is remembered."""
+GRANT_RETENTION_SECONDS = 60.0
+"""Time for which the grants of a limited worker are kept after its last one."""
 
 
 class WorkerLimits:
-    """Joins what entries tell of warm-ups, what the configuration says, and what workers name.
+    """Combines the warm-ups in worker entries, the configured rates and the limits workers state.
 
-    As an owner, this gateway counts the calls that it let begin for a limited worker, and those
-    that it let be sent to one: what is made for a call in between takes a time of its own, after
-    which many could be sent together.
+    As an owner, this gateway counts two things for a limited worker: the calls that it allowed to
+    begin, and those that it allowed to be sent. The stages of a call between the two take time
+    that varies, so calls that began apart could otherwise be sent together.
     """
 
     def __init__(self, mirror: StoreMirror, fleet: Fleet, stated: StatedLimits) -> None:
@@ -35,7 +35,7 @@
         self._sent = GrantLog()
 
     def limits(self, worker: WorkerRecord, now: float) -> tuple[RateLimit, ...]:
-        """Return every limit that holds for a worker, none for most."""
+        """Return all limits in force for a worker; most workers have none."""
         warmup = self.warmup_rate(worker, now)
         named = None if self._stated.empty else self._stated.rate(worker.worker_id, now)
         if named is None:
@@ -45,18 +45,18 @@
         return RateLimit(warmup), *stated_limits(named)
 
     def rate(self, worker: WorkerRecord, now: float) -> float | None:
-        """Return the requests a second that a worker takes, ``None`` without a limit."""
+        """Return the lowest limit of a worker in requests a second, ``None`` without a limit."""
         return min((limit.rate for limit in self.limits(worker, now)), default=None)
 
     def interval(self, worker: WorkerRecord, now: float) -> float:
-        """Return the seconds between two requests to a worker, 0 without a limit."""
+        """Return the minimum seconds between two requests to a worker, 0 without a limit."""
         rate = self.rate(worker, now)
         if rate is None:
             return 0.0
         return min(1.0 / rate, LONGEST_WAIT_SECONDS) if rate > 0 else LONGEST_WAIT_SECONDS
 
     def warmup_rate(self, worker: WorkerRecord, now: float) -> float | None:
-        """Return what a worker bears while it warms up, ``None`` if it does not."""
+        """Return the limit of a worker that is warming up, ``None`` if it is not."""
         if not self._mirror.warming.any(now):
             return None
         profile = self._mirror.profile(worker.service)
@@ -67,42 +67,42 @@
         return profile.warmup_rate
 
     def wait(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> float:
-        """Return in how many seconds this gateway, as its owner, may grant a worker one more.
+        """Return after how many seconds this gateway, as owner, may grant a worker one more call.
 
-        ``begins`` asks for a call that is to begin, not for one that is to be sent.
+        ``begins`` selects the grants of calls that begin instead of those that are sent.
         """
         limits = self.limits(worker, now)
         log = self._begun if begins else self._sent
         return log.wait(worker.worker_id, limits, now) if limits else 0.0
 
     def note_granted(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> None:
-        """Take that this gateway, as its owner, granted a worker a request."""
+        """Record that this gateway, as owner, granted a request to a worker."""
         limits = self.limits(worker, now)
         if limits:
             log = self._begun if begins else self._sent
             log.note(worker.worker_id, now, max(limit.window for limit in limits))
-            log.forget_before(now - FORGET_SECONDS)
+            log.forget_before(now - GRANT_RETENTION_SECONDS)
 
     def may_send(self, worker: WorkerRecord, now: float) -> bool:
-        """Return whether a worker may be sent a request that no owner has granted."""
+        """Return whether the local send slots allow a request to a worker without a grant."""
         rate = self.rate(worker, now)
         if rate is None:
             return True
         return self._slots.open(worker.worker_id, rate, self._fleet.known_members(), now)
 
     def note_sent(self, worker: WorkerRecord, now: float) -> None:
-        """Take that a request goes to a worker that no owner has granted."""
+        """Record that a request is sent to a worker without a grant of the owner."""
         rate = self.rate(worker, now)
         if rate is not None:
             self._slots.note(worker.worker_id, rate, self._fleet.known_members(), now)
 
     def limited(self, workers: Collection[WorkerRecord], now: float) -> list[WorkerRecord]:
-        """Return those of some workers that are limited."""
+        """Return the workers among those given that have a limit."""
         if self._stated.empty and not self._mirror.warming.any(now):
             return []
         return [worker for worker in workers if self.limits(worker, now)]
 
     def warming(self, now: float) -> list[WorkerRecord]:
-        """Return the workers that are limited by a warm-up."""
+        """Return all workers that are limited by a warm-up."""
         records = self._mirror.workers.records()
         return [worker for worker in records if self.warmup_rate(worker, now) is not None]
--- a/src/corkcrank/node/workers/__init__.py
+++ b/src/corkcrank/node/workers/__init__.py
@@ -1,5 +1,5 @@
-"""HTTP to workers: one request, one answer or one failure, and the detection of outliers.
+"""HTTP client for workers, and the detection of workers and requests that cause failures.
 
-State: kept connections, outcomes of calls, verdicts. Calls telemetry; called by whatever sends work
-to plain workers, engines and stage workers.
+State: idle connections, outcomes of calls, verdicts on workers and requests. Calls telemetry;
+called by the modules that send work to plain workers, engines and stage workers.
 """
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -1,4 +1,4 @@
-"""Takes what broken calls show of workers that ended, and keeps requests that end them away."""
+"""Detects worker crashes after connection failures and quarantines the requests that cause them."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -9,23 +9,23 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.node.telemetry.metrics import NodeMetrics
-from corkcrank.node.workers.worker_probe import has_ended
+from corkcrank.node.workers.worker_probe import has_exited
 from corkcrank.scheduling.crash_reports import CrashReport, TrialReport
 from corkcrank.scheduling.crash_verdicts import Verdict
 from corkcrank.scheduling.request_quarantine import RequestQuarantine, RequestState
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-CONNECTION_PATIENCE_SECONDS = 1.5
-"""Longest wait for the answer to a connection: a lost packet is sent again after 1 s. A machine
-whose process has ended refuses it; one that says nothing shows no end of the process."""
+PROBE_TIMEOUT_SECONDS = 1.5
+"""Longest wait for the result of a connection attempt: TCP retransmits a lost packet after 1 s. A
+machine whose process has exited refuses the connection; silence does not show an exit."""
 
 
 class CrashWatch:
-    """What this gateway does about requests that crash workers.
+    """Crash detection and request quarantine of a gateway.
 
-    A connection that breaks may have been reset on the way, or by a worker that goes on. So the
-    worker is asked for a new one, and only where that is refused has it ended. ``on_news`` is
-    called when others should hear of something at once.
+    A failed connection may have been reset on the network, or by a worker that still runs. So the
+    gateway opens a new connection to the worker, and records a crash only if it is refused.
+    ``on_news`` is called when peers should receive an update at once.
     """
 
     def __init__(
@@ -36,14 +36,14 @@
         self.on_news: Callable[[], None] = lambda: None
         self._log = log
         self._metrics = metrics
-        self._checks: dict[str, asyncio.Task[bool]] = {}
+        self._exit_checks: dict[str, asyncio.Task[bool]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._verdicts: Mapping[str, Verdict] = {}
         self._review_timer: asyncio.TimerHandle | None = None
-        self._problems: set[str] = set()
+        self._logged_problems: set[str] = set()
 
     def quarantine_left(self, call: OpaqueCall) -> float:
-        """Return for how many seconds a call's request is kept from workers, 0 if it is not."""
+        """Return for how many more seconds a call's request is not sent to workers, 0 if it may."""
         if self.quarantine.empty:
             return 0.0
         now = clock.now()
@@ -51,9 +51,9 @@
         return left or self.quarantine.seconds_to_wait(call.fingerprint, now)
 
     async def wait_for_verdict(self, call: OpaqueCall) -> float:
-        """Wait until a call's request is judged; return what :meth:`quarantine_left` does then.
+        """Wait for the verdict on a call's request; return its remaining quarantine in seconds.
 
-        A call whose time ends before that does not wait.
+        A call whose deadline comes before the verdict does not wait.
         """
         waits = False
         while not self.quarantine.empty:
@@ -73,14 +73,17 @@
         return self.quarantine_left(call)
 
     def is_suspected(self, call: OpaqueCall) -> bool:
-        """Return whether a worker has ended under a call's request that never ended well since."""
+        """Return whether a worker crashed with a call's request that has not completed since."""
         if self.quarantine.empty:
             return False
         state = self.quarantine.state(call.fingerprint, clock.now())
         return state is not RequestState.SOUND
 
     def note_sent(self, call: OpaqueCall) -> None:
-        """Take that a call goes to a worker: on probation no other may for a while."""
+        """Record that a call is sent to a worker.
+
+        If its request is on probation, no other call of the request may be sent for a while.
+        """
         if self.quarantine.empty:
             return
         if self.quarantine.note_sent(call.fingerprint, clock.now()):
@@ -90,75 +93,81 @@
     def note_broken(
         self, call: OpaqueCall, worker: WorkerRecord, *, progressed: bool = False
     ) -> None:
-        """Take that a worker broke a call off; look whether it has ended.
+        """Record that a call's connection to a worker failed; check if the worker has exited.
 
-        ``progressed`` says that the call had been at work there for a while.
+        ``progressed`` says that the worker had been running the call for some time.
         """
-        task = asyncio.create_task(self._look(call, worker, progressed=progressed))
+        task = asyncio.create_task(self._check_worker(call, worker, progressed=progressed))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def note_served(self, call: OpaqueCall) -> None:
-        """Take that a worker answered a call whole: its request is sound."""
+        """Record that a worker completed a call: this clears the suspicion of its request."""
         if self.quarantine.empty:
             return
         if self.quarantine.note_sound(call.fingerprint, clock.now()):
             self._log.write(LogEvent.REQUEST_CLEARED, call=call.call_id, request=call.fingerprint)
-            self._review()
+            self._review_verdicts()
             self.on_news()
 
     def note_member_lost(self, member: str, last_heard_at: float) -> None:
-        """Take that a gateway is gone without a word: it may not have told what it had."""
+        """Record that a gateway is unreachable and announced no exit.
+
+        It may not have reported the requests that it had at crashed workers, so crash records of
+        that time may be incomplete.
+        """
         if self.quarantine.note_loss(last_heard_at, clock.now()):
             self._log.write(
                 LogEvent.EVIDENCE_INCOMPLETE,
                 member=member,
                 age=round(clock.now() - last_heard_at, 3),
             )
-            self._review()
+            self._review_verdicts()
             self.on_news()
 
     def take(self, reports: Iterable[CrashReport], source: str) -> None:
-        """Take what a peer, or the store, tells of ends."""
+        """Apply crash reports of a peer or of the store."""
         now = clock.now()
-        news = False
+        changed = False
         for report in reports:
             if problem := report.problem():
-                self._note_problem(problem, source)
+                self._record_unreadable_report(problem, source)
             elif self.quarantine.take(report, now):
-                news = True
+                changed = True
                 self._worker_statistics.of(report.worker_id).note_ended(now - report.age)
-        if news:
-            self._review()
+        if changed:
+            self._review_verdicts()
             self.on_news()
 
     def take_trials(self, reports: Iterable[TrialReport]) -> None:
-        """Take what a peer tells of requests on probation."""
+        """Apply a peer's reports of calls of requests on probation."""
         now = clock.now()
         if any([self.quarantine.take_trial(report, now) for report in reports]):
             self.on_news()
 
     def release(self, request: str) -> ReleaseAnswer:
-        """Free a request, for an operator who knows that it is sound."""
+        """Release a request from quarantine, for an operator who knows that it is healthy."""
         now = clock.now()
         before = self.quarantine.state(request, now)
         if self.quarantine.note_sound(request, now):
             self._log.write(LogEvent.REQUEST_RELEASED, request=request, before=before.value)
-            self._review()
+            self._review_verdicts()
             self.on_news()
         return ReleaseAnswer(request, before.value, self.quarantine.state(request, now).value)
 
     async def close(self) -> None:
-        """Give up the looks that are under way."""
+        """Cancel the checks of workers that are in progress."""
         if self._review_timer is not None:
             self._review_timer.cancel()
-        pending = [*self._tasks, *self._checks.values()]
+        pending = [*self._tasks, *self._exit_checks.values()]
         for task in pending:
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
 
-    async def _look(self, call: OpaqueCall, worker: WorkerRecord, *, progressed: bool) -> None:
-        if not await self._has_ended(worker):
+    async def _check_worker(
+        self, call: OpaqueCall, worker: WorkerRecord, *, progressed: bool
+    ) -> None:
+        if not await self._has_exited(worker):
             return
         now = clock.now()
         self._worker_statistics.of(worker.worker_id).note_ended(now)
@@ -174,52 +183,52 @@
             service=worker.service,
             progressed=progressed,
         )
-        self._review()
+        self._review_verdicts()
         self.on_news()
 
-    async def _has_ended(self, worker: WorkerRecord) -> bool:
-        """Return whether a worker has ended; calls that break together share one look, or two.
+    async def _has_exited(self, worker: WorkerRecord) -> bool:
+        """Return whether a worker's process has exited.
 
-        A look that was under way before may have found the worker alive just before its end, so
-        that another one follows it.
+        Calls that fail together share 1 or 2 checks. A check that was already in progress may have
+        found the worker alive just before its exit, so another one follows it.
         """
-        before = self._checks.get(worker.worker_id)
+        before = self._exit_checks.get(worker.worker_id)
         if before is not None:
             if await before:
                 return True
-            following = self._checks.get(worker.worker_id)
+            following = self._exit_checks.get(worker.worker_id)
             if following is not None and following is not before:
                 return await following
-        check = asyncio.create_task(has_ended(worker.address, CONNECTION_PATIENCE_SECONDS))
-        self._checks[worker.worker_id] = check
+        check = asyncio.create_task(has_exited(worker.address, PROBE_TIMEOUT_SECONDS))
+        self._exit_checks[worker.worker_id] = check
         try:
             return await check
         finally:
-            if self._checks.get(worker.worker_id) is check:
-                del self._checks[worker.worker_id]
+            if self._exit_checks.get(worker.worker_id) is check:
+                del self._exit_checks[worker.worker_id]
 
-    def _review(self) -> None:
-        """Log verdicts that are new or taken back, now and when the next end is settled."""
+    def _review_verdicts(self) -> None:
+        """Log verdicts that are new or withdrawn, now and when the next crash can be decided."""
         now = clock.now()
         before, self._verdicts = self._verdicts, self.quarantine.verdicts(now)
         for request in sorted(self._verdicts.keys() - before.keys()):
-            self._note_quarantined(request, self._verdicts[request], now)
+            self._record_quarantine(request, self._verdicts[request], now)
         for request in sorted(before.keys() - self._verdicts.keys()):
             if self.quarantine.state(request, now) is RequestState.SUSPECTED:
                 self._metrics.verdicts_taken_back.inc()
                 self._log.write(LogEvent.REQUEST_FREED, request=request)
-        self._review_later(now)
+        self._schedule_review(now)
 
-    def _review_later(self, now: float) -> None:
+    def _schedule_review(self, now: float) -> None:
         if self._review_timer is not None:
             self._review_timer.cancel()
             self._review_timer = None
         seconds = self.quarantine.next_settling(now) - now
         if seconds < float("inf"):
             loop = asyncio.get_running_loop()
-            self._review_timer = loop.call_later(seconds, self._review)
+            self._review_timer = loop.call_later(seconds, self._review_verdicts)
 
-    def _note_quarantined(self, request: str, verdict: Verdict, now: float) -> None:
+    def _record_quarantine(self, request: str, verdict: Verdict, now: float) -> None:
         self._metrics.quarantines.inc()
         ends = self.quarantine.records.suspected_ends(request)
         self._log.write(
@@ -234,9 +243,9 @@
             seconds=round(self.quarantine.seconds_left(request, now), 3),
         )
 
-    def _note_problem(self, problem: str, source: str) -> None:
-        """Count a report that cannot be believed; log the first of each kind."""
+    def _record_unreadable_report(self, problem: str, source: str) -> None:
+        """Count an invalid report; log the first of each kind."""
         self._metrics.unreadable_crash_reports.labels(problem).inc()
-        if problem not in self._problems:
-            self._problems.add(problem)
+        if problem not in self._logged_problems:
+            self._logged_problems.add(problem)
             self._log.write(LogEvent.CRASH_REPORT_UNREADABLE, source=source, detail=problem)
--- a/src/corkcrank/node/workers/worker_client.py
+++ b/src/corkcrank/node/workers/worker_client.py
@@ -1,4 +1,4 @@
-"""HTTP to workers: one attempt is sent once, and its failure says if bytes went out."""
+"""HTTP client for workers: sends each attempt once; a failure says if it may have been received."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,65 +22,65 @@
     ignore_silence,
 )
 
-CONNECT_SECONDS = 0.5
-"""Longest wait for a connection to a worker."""
+CONNECT_TIMEOUT_SECONDS = 0.5
+"""Timeout for a connection to a worker."""
 
-KEPT_IDLE_SECONDS = 1.5
-"""A kept connection that was idle for longer is not used again."""
+MAX_IDLE_SECONDS = 1.5
+"""A keep-alive connection that was idle for longer is not reused."""
 
-LEAST_SILENCE_SECONDS = 0.1
-"""A shorter wait without a byte tells nothing of a connection: the call's end was near."""
+MIN_SILENCE_SECONDS = 0.1
+"""A shorter wait without a byte says nothing about a connection: the call's deadline was near."""
 
-MAXIMUM_HEADER_BYTES = 32_768
-"""Longest header field of a worker's answer."""
+MAX_HEADER_BYTES = 32_768
+"""Maximum length of a header field in a worker's response."""
 
 AUTOMATIC_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-"""Headers that the client library would add to what a caller sent."""
+"""Headers that the client library would add to those of a caller."""
 
 
 class SendTrouble(StrEnum):
-    """What is known of a request that got no answer."""
+    """What is known about a request that got no response."""
 
     NOT_SENT = "not-sent"
     REFUSED = "refused"
-    """The worker's machine refused the connection: nobody listens there."""
+    """The worker's machine refused the connection: no process listens there."""
     SILENT = "silent"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class SendFailure:
-    """No usable answer."""
+    """Why a request got no usable response."""
 
     trouble: SendTrouble
     detail: str
 
 
 class _CheckedConnector(aiohttp.TCPConnector):
-    """Drops a kept connection that has unread bytes: a surplus answer lies in it."""
+    """A connector that closes an idle connection with unread bytes: it holds a surplus response."""
 
     async def _get(self, key, traces):  # type: ignore[no-untyped-def]
         connection = await super()._get(key, traces)
-        while connection is not None and _has_surplus(connection.protocol):
+        while connection is not None and _has_surplus_bytes(connection.protocol):
             connection.close()
             connection = await super()._get(key, traces)
         return connection
 
 
-def _has_surplus(protocol: ResponseHandler | None) -> bool:
+def _has_surplus_bytes(protocol: ResponseHandler | None) -> bool:
     return protocol is None or protocol.should_close
 
 
 class WorkerClient:
-    """Opens requests to workers on fresh or on kept connections.
+    """Sends requests to workers on new or on keep-alive connections.
 
-    After a time-out no idle connection to that worker is used again.
+    After a timeout no idle connection to that worker is reused.
     """
 
     def __init__(self, on_silence: SilenceListener = ignore_silence) -> None:
         self._on_silence = on_silence
-        self._kept = _session(_CheckedConnector(limit=0, keepalive_timeout=KEPT_IDLE_SECONDS))
-        self._fresh = _session(aiohttp.TCPConnector(limit=0, force_close=True))
+        self._kept = _create_session(_CheckedConnector(limit=0, keepalive_timeout=MAX_IDLE_SECONDS))
+        self._fresh = _create_session(aiohttp.TCPConnector(limit=0, force_close=True))
 
     async def __aenter__(self) -> Self:
         return self
@@ -109,9 +109,9 @@
         *,
         fresh: bool,
     ) -> aiohttp.ClientResponse | SendFailure:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
-        The target goes out byte for byte. Nothing is sent a second time.
+        The target is sent byte for byte. Nothing is sent a second time.
         """
         session = self._fresh if fresh else self._kept
         url = URL(f"http://{address}{target}", encoded=True)
@@ -140,70 +140,70 @@
     async def read(
         self, response: aiohttp.ClientResponse, seconds: float, silence: float = float("inf")
     ) -> bytes | None:
-        """Return a whole body, or ``None`` if it was cut or did not come in time.
+        """Return a complete body, or ``None`` if it was truncated or timed out.
 
-        ``seconds`` bounds the whole of it, ``silence`` the wait for each next byte. A body
-        without length ends with its connection; if that ended by a reset, the library still
-        calls it complete, so how the connection ended is asked here.
+        ``seconds`` bounds the whole read, ``silence`` the wait for each next byte. A body without
+        length ends with its connection. If a reset ended the connection, the library still
+        reports the body as complete, so this method checks how the connection ended.
         """
         end_at = clock.now() + seconds
         closed = unframed_end(response)
         chunks: list[bytes] = []
-        heard_at = clock.now()
+        received_at = clock.now()
         try:
             while True:
-                async with asyncio.timeout(max(0.0, min(silence, end_at - heard_at))):
+                async with asyncio.timeout(max(0.0, min(silence, end_at - received_at))):
                     chunk = await response.content.readany()
                 if not chunk:
                     break
                 chunks.append(chunk)
-                heard_at = clock.now()
+                received_at = clock.now()
             if closed is not None:
                 await closed
         except TimeoutError:
             response.close()
-            self.note_silence(address_of(response), clock.now() - heard_at)
+            self.note_silence(address_of(response), clock.now() - received_at)
             return None
         except (aiohttp.ClientError, OSError, ValueError):
             return None
         return b"".join(chunks)
 
     def drop_all_idle(self) -> int:
-        """Use no idle connection again; return how many they were."""
+        """Close all idle connections; return their number."""
         return drop_all_idle(self._kept)
 
     def note_silence(self, address: str, waited: float) -> None:
-        """Take that a worker's connection was dropped after a wait in seconds for bytes."""
-        if waited < LEAST_SILENCE_SECONDS:
+        """Record that a worker's connection was dropped after ``waited`` seconds without a byte."""
+        if waited < MIN_SILENCE_SECONDS:
             return
         idle = drop_idle(self._kept, address)
         self._on_silence(SilentConnection(ConnectionKind.WORKER, address, waited, idle))
 
 
 def address_of(response: aiohttp.ClientResponse) -> str:
-    """Return the ``ip:port`` that an answer came from."""
+    """Return the ``ip:port`` that a response came from."""
     return f"{response.url.host}:{response.url.port}"
 
 
-def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
+def _create_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
     session = aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
         skip_auto_headers=AUTOMATIC_HEADERS,
         cookie_jar=aiohttp.DummyCookieJar(),
         trust_env=False,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
-        max_line_size=MAXIMUM_HEADER_BYTES,
-        max_field_size=MAXIMUM_HEADER_BYTES,
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
+        max_line_size=MAX_HEADER_BYTES,
+        max_field_size=MAX_HEADER_BYTES,
     )
-    # The library sends an idempotent method again by itself when a kept connection has
-    # died; which request is sent again is decided by the retry budget only.
+    # By default the library resends an idempotent method when a keep-alive connection has
+    # failed. Only the retry budget may decide which request is sent again.
     session._retry_connection = False
     return session
 
 
 def unframed_end(response: aiohttp.ClientResponse) -> asyncio.Future[None] | None:
-    """Return the future of the connection's end for a body that has no framing."""
+    """Return the future that completes when the connection closes, for a body without framing."""
     if "Content-Length" in response.headers or "Transfer-Encoding" in response.headers:
         return None
     connection = response.connection
--- a/src/corkcrank/node/workers/worker_health.py
+++ b/src/corkcrank/node/workers/worker_health.py
@@ -1,4 +1,4 @@
-"""Outlier detection at work: takes outcomes of calls, has them judged, tells what changed."""
+"""Runs outlier detection on workers: records call outcomes, evaluates them, publishes verdicts."""
 
 import asyncio
 import random
@@ -13,19 +13,19 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 from corkcrank.scheduling.worker_outcomes import CallOutcome, OutcomeTable, ReportedOutcomes
 
-JUDGE_SECONDS = 0.25
-"""Time between two judgements: as often as a small fleet's heartbeats bring something new."""
+EVALUATION_INTERVAL_SECONDS = 0.25
+"""Time between two evaluations: heartbeats of a small fleet bring updates about this often."""
 
 FAULT_STATUS = 500
-"""From this status on an answer is the worker's own failure, and another worker may do better; a
-lower one is the caller's."""
+"""Lowest status that counts as a failure of the worker, so that another worker may succeed; a lower
+error status is the caller's fault."""
 
 DEADLINE_STATUS = 504
-"""Status of a worker that ran a call until its deadline: the time was short."""
+"""Status of a worker that ran a call until its deadline: the deadline was too short."""
 
 
 class WorkerHealth:
-    """What a gateway holds of the workers that fail calls; verdicts go to the statistics."""
+    """A gateway's outlier detection; it writes its verdicts to the worker statistics."""
 
     def __init__(
         self,
@@ -44,51 +44,55 @@
         self._detector = OutlierDetector(self._outcomes, random_source)
 
     def answered(self, worker: WorkerRecord, status: int) -> None:
-        """Take a worker's whole answer; one to a deadline says nothing of the worker."""
+        """Record the status of a worker's complete response.
+
+        A response at the deadline says nothing about the worker and is not recorded.
+        """
         if status == DEADLINE_STATUS:
             return
         failed = status >= FAULT_STATUS
         self.note(worker, CallOutcome.FAULT if failed else CallOutcome.SERVED)
 
     def note(self, worker: WorkerRecord, outcome: CallOutcome) -> None:
-        """Take the end of a call that a worker had."""
+        """Record the outcome of a call at a worker; evaluate its service at once on a fault."""
         now = clock.now()
         self._outcomes.note(worker.worker_id, outcome, now)
         if outcome is CallOutcome.FAULT:
-            self._judge_service(worker.service, now)
+            self._evaluate_service(worker.service, now)
 
     def take(self, peer: str, zone: str, told: Iterable[ReportedOutcomes]) -> None:
-        """Take a peer's report on the workers that failed its calls."""
+        """Apply a peer's report of call outcomes at workers that failed its calls."""
         self._outcomes.take(peer, zone, told, clock.now())
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that is silent."""
+        """Remove the outcomes that an unreachable peer reported."""
         self._outcomes.forget(peer)
 
     def reported(self, now: float) -> tuple[ReportedOutcomes, ...]:
-        """Return what a heartbeat tells."""
+        """Return the outcomes that a heartbeat reports to peers."""
         return self._outcomes.reported(now)
 
     def forget_all_but(self, worker_ids: Collection[str]) -> None:
-        """Drop workers that are no longer listed."""
+        """Remove workers that are no longer listed."""
         self._outcomes.forget_all_but(worker_ids)
         self._detector.forget_all_but(worker_ids)
 
     async def watch(self) -> None:
-        """Judge for ever the services of which a failure is known."""
-        judged: set[str] = set()
+        """Evaluate, in an endless loop, the services with a recorded failure."""
+        evaluated_before: set[str] = set()
         while True:
-            await asyncio.sleep(JUDGE_SECONDS)
+            await asyncio.sleep(EVALUATION_INTERVAL_SECONDS)
             now = clock.now()
             suspects = self._outcomes.failing(now) | self._detector.judged()
             records = (self._mirror.workers.get(worker_id) for worker_id in suspects)
             services = {record.service for record in records if record is not None}
-            # Once more when the last failure has faded, so that no excess stays behind.
-            for service in services | judged:
-                self._judge_service(service, now)
-            judged = services
+            # Evaluates a service once more after its last failure has decayed, so that no stale
+            # excess remains.
+            for service in services | evaluated_before:
+                self._evaluate_service(service, now)
+            evaluated_before = services
 
-    def _judge_service(self, service: str, now: float) -> None:
+    def _evaluate_service(self, service: str, now: float) -> None:
         workers = self._mirror.workers.usable(service)
         changes = self._detector.judge(workers, now)
         for worker in workers:
@@ -101,7 +105,7 @@
             self._log_change(change)
 
     def _log_change(self, change: VerdictChange) -> None:
-        counts, near = change.evidence.counts, change.evidence.near
+        counts, same_zone = change.evidence.counts, change.evidence.near
         self._log.write(
             _EVENTS[change.after],
             worker=change.worker.worker_id,
@@ -111,8 +115,8 @@
             before_seconds=round(change.seconds, 3),
             served=round(counts.served, 2),
             failed=round(counts.failed, 2),
-            own_zone_served=round(near.served, 2),
-            own_zone_failed=round(near.failed, 2),
+            own_zone_served=round(same_zone.served, 2),
+            own_zone_failed=round(same_zone.failed, 2),
             least_rate=round(change.bound, 3),
             others_rate=round(change.others, 3),
         )
--- a/src/corkcrank/node/workers/worker_statements.py
+++ b/src/corkcrank/node/workers/worker_statements.py
@@ -1,4 +1,4 @@
-"""Takes what workers say of themselves in the heads of their answers, and logs what is new."""
+"""Reads what workers state in their response headers, such as rate limits, and logs changes."""
 
 from collections.abc import Callable, Iterable, Mapping
 from http import HTTPStatus
@@ -10,17 +10,17 @@
 from corkcrank.node.telemetry.metrics import NodeMetrics
 from corkcrank.scheduling.stated_limits import LimitChange, ReportedLimit, StatedLimits
 
-OWN_CALL = "own call"
-"""Source of what this gateway heard itself, in logs."""
+LOCAL_CALL = "own call"
+"""Source, in log lines, of a limit that this gateway read from a response to its own call."""
 
-MAXIMUM_UNKNOWN_HEADERS = 64
-"""Names of unknown headers that are remembered, so that each is logged once."""
+MAX_UNKNOWN_HEADERS = 64
+"""Maximum number of unknown header names that are stored so that each is logged once."""
 
 
 class WorkerStatements:
-    """What this gateway has heard from workers; every answer of one passes here.
+    """Reads the headers of every response of a worker and stores the rate limits that they state.
 
-    ``on_news`` is called when others should hear of something soon.
+    ``on_news`` is called when peers should receive an update soon.
     """
 
     def __init__(self, codec: StatementCodec, log: DecisionLog, metrics: NodeMetrics) -> None:
@@ -32,36 +32,38 @@
         self.on_news: Callable[[], None] = lambda: None
 
     def hear(self, worker: WorkerRecord, status: int, headers: Mapping[str, str]) -> None:
-        """Take the head of an answer that was asked of a worker."""
+        """Record the statements in the head of a response to a request that was sent to a worker.
+
+        A misdirected request (421) is skipped: another worker has taken over the address.
+        """
         if status == HTTPStatus.MISDIRECTED_REQUEST:
-            # Another worker has taken over the address.
             return
         statement = self._codec.read_statement(headers)
         for name in statement.unknown_headers:
-            self._note_unknown(name, worker)
+            self._record_unknown_header(name, worker)
         if isinstance(statement.rate_limit, Unreadable):
-            self._note_unreadable(worker.worker_id, statement.rate_limit.reason)
+            self._record_unreadable_limit(worker.worker_id, statement.rate_limit.reason)
         else:
-            self._take_limit(worker, statement.rate_limit)
+            self._record_stated_limit(worker, statement.rate_limit)
 
     def take(self, reports: Iterable[ReportedLimit], source: str) -> None:
-        """Take what a peer has heard of workers."""
+        """Apply a peer's reports of rate limits."""
         now = clock.now()
         for report in reports:
             if not report.readable:
-                self._note_unreadable(report.worker_id, f"report of {source}")
+                self._record_unreadable_limit(report.worker_id, f"report of {source}")
                 continue
             change = self.limits.take(report, now)
             if change is not None:
-                self._note_change(report.worker_id, change, report.rate, source, report.age)
+                self._record_change(report.worker_id, change, report.rate, source, report.age)
 
-    def _take_limit(self, worker: WorkerRecord, rate: float | None) -> None:
+    def _record_stated_limit(self, worker: WorkerRecord, rate: float | None) -> None:
         change = self.limits.hear(worker.worker_id, rate, clock.now())
         if change is None:
             return
-        self._note_change(worker.worker_id, change, rate, OWN_CALL, 0.0)
+        self._record_change(worker.worker_id, change, rate, LOCAL_CALL, 0.0)
 
-    def _note_change(
+    def _record_change(
         self, worker_id: str, change: LimitChange, rate: float | None, source: str, age: float
     ) -> None:
         self._metrics.rate_limit_changes.labels(change.value).inc()
@@ -76,15 +78,15 @@
         if change is LimitChange.NAMED:
             self.on_news()
 
-    def _note_unreadable(self, worker_id: str, reason: str) -> None:
+    def _record_unreadable_limit(self, worker_id: str, reason: str) -> None:
         self._metrics.rate_limit_changes.labels("unreadable").inc()
         self._log.write(LogEvent.RATE_LIMIT_UNREADABLE, worker=worker_id, reason=reason)
 
-    def _note_unknown(self, name: str, worker: WorkerRecord) -> None:
+    def _record_unknown_header(self, name: str, worker: WorkerRecord) -> None:
         self._metrics.unknown_headers.inc()
         if name in self._unknown_headers:
             return
-        if len(self._unknown_headers) < MAXIMUM_UNKNOWN_HEADERS:
+        if len(self._unknown_headers) < MAX_UNKNOWN_HEADERS:
             self._unknown_headers.add(name)
             self._log.write(
                 LogEvent.HEADER_UNKNOWN,
--- a/tests/platform/mortal_workers.py
+++ b/tests/platform/mortal_workers.py
@@ -1,4 +1,4 @@
-"""Workers that crash when they begin to run certain requests, and start again at their address."""
+"""Test workers that crash when they begin certain requests, and restart at their address."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -9,47 +9,47 @@
 from standin_store import StandinStore
 
 CRASHING = b"crashing"
-"""What the body of a request holds that ends the worker which runs it."""
+"""Content of a request body that crashes the worker that runs the request."""
 
 CRASHING_KEY = "crashing"
-"""Key of the pieces that end the stage worker which makes them."""
+"""Key of the pieces that crash the stage worker that runs them."""
 
 FIRST_START = 1_764_000_000_000
 
 
 @dataclass
-class Mortality:
-    """The life of one worker: ``ends`` counts its crashes, ``down`` is the time until it is back.
+class CrashControl:
+    """Crashes and restarts one worker; ``crashes`` counts, ``down_seconds`` is until the restart.
 
-    A worker is back under its name with a later start, as the platform's list tells it.
+    A restarted worker keeps its name and has a later start time, as in the platform's worker list.
     """
 
     store: StandinStore | None = None
     service: str = ""
-    down: float = 0.2
-    ends: int = 0
+    down_seconds: float = 0.2
+    crashes: int = 0
     _restarts: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def crash(self, worker: "MortalWorker | MortalStageWorker") -> None:
-        """End every connection and refuse new ones, like a process that has died."""
+    def crash(self, worker: "CrashingWorker | CrashingStageWorker") -> None:
+        """Abort every connection and refuse new ones, like a process that has exited."""
         if not worker.server.listening:
             return
-        self.ends += 1
+        self.crashes += 1
         worker.server.kill()
         task = asyncio.create_task(self._restart(worker))
         self._restarts.add(task)
         task.add_done_callback(self._restarts.discard)
 
-    async def _restart(self, worker: "MortalWorker | MortalStageWorker") -> None:
-        await asyncio.sleep(self.down)
-        await worker.server.revive()
-        worker.told["born"] = FIRST_START + 1000 * self.ends
+    async def _restart(self, worker: "CrashingWorker | CrashingStageWorker") -> None:
+        await asyncio.sleep(self.down_seconds)
+        await worker.server.restart()
+        worker.told["born"] = FIRST_START + 1000 * self.crashes
         if self.store is not None:
             self.store.put("servers", worker.worker_id, worker.entry(self.service))
 
 
-class MortalServer(Server):
-    """A server that can die at once, and listen again on its port."""
+class KillableServer(Server):
+    """A server that can abort all connections at once, and listen on its port again."""
 
     listening = False
     _server: web.Server
@@ -70,7 +70,7 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    async def revive(self) -> None:
+    async def restart(self) -> None:
         await self.start()
 
     async def stop(self) -> None:
@@ -80,30 +80,30 @@
 
 
 @dataclass
-class MortalWorker(StandinWorker):
+class CrashingWorker(StandinWorker):
     """A plain worker or an engine; an engine sends ``events_before`` events before it crashes.
 
-    ``fatal`` has every request end it.
+    ``crashes_always`` makes every request crash it.
     """
 
-    life: Mortality = field(default_factory=Mortality)
+    crash_control: CrashControl = field(default_factory=CrashControl)
     events_before: int = 0
-    fatal: bool = False
+    crashes_always: bool = False
 
     def __post_init__(self) -> None:
         self.worker_id = self.worker_id or f"i-{next(_ids):08x}"
         self.told.setdefault("born", FIRST_START)
-        self.server = MortalServer(self._handle)
+        self.server = KillableServer(self._handle)
 
     async def _answer(self, request: web.BaseRequest, fault: str) -> web.StreamResponse:
-        if not self.fatal and CRASHING not in self.seen[-1].body:
+        if not self.crashes_always and CRASHING not in self.seen[-1].body:
             return await super()._answer(request, fault)
         if self.events and self.events_before:
-            await self._send_some(request)
-        self.life.crash(self)
+            await self._send_first_events(request)
+        self.crash_control.crash(self)
         raise ConnectionResetError
 
-    async def _send_some(self, request: web.BaseRequest) -> None:
+    async def _send_first_events(self, request: web.BaseRequest) -> None:
         first = int(request.headers.get("Last-Event-Id") or 0) + 1
         response = web.StreamResponse(headers=self._head(request, ""))
         response.content_type = "text/event-stream"
@@ -115,31 +115,31 @@
 
 
 @dataclass
-class MortalStageWorker(StandinStageWorker):
-    """A stage worker that ends when it makes a piece with the crashing key."""
+class CrashingStageWorker(StandinStageWorker):
+    """A stage worker that crashes when it runs a piece with the crashing key."""
 
-    life: Mortality = field(default_factory=Mortality)
+    crash_control: CrashControl = field(default_factory=CrashControl)
 
     def __post_init__(self) -> None:
         self.worker_id = self.worker_id or f"i-{next(_ids):08x}"
         self.told.setdefault("born", FIRST_START)
-        self.server = MortalServer(self._handle)
+        self.server = KillableServer(self._handle)
 
     def _make(self, item: dict[str, Any]) -> dict[str, str]:
         if item.get("key") == CRASHING_KEY:
-            self.life.crash(self)
+            self.crash_control.crash(self)
             raise ConnectionResetError
         return super()._make(item)
 
 
-def ends_of(workers: "list[MortalWorker] | list[MortalStageWorker]") -> int:
+def crash_count(workers: "list[CrashingWorker] | list[CrashingStageWorker]") -> int:
     """Return how often workers have crashed."""
-    return sum(worker.life.ends for worker in workers)
+    return sum(worker.crash_control.crashes for worker in workers)
 
 
 def join_store(
-    store: StandinStore, workers: "list[MortalWorker] | list[MortalStageWorker]", service: str
+    store: StandinStore, workers: "list[CrashingWorker] | list[CrashingStageWorker]", service: str
 ) -> None:
-    """Have workers that start again tell the store."""
+    """Have workers write their entries to the store when they restart."""
     for worker in workers:
-        worker.life.store, worker.life.service = store, service
+        worker.crash_control.store, worker.crash_control.service = store, service
--- a/tests/platform/test_crash_watch.py
+++ b/tests/platform/test_crash_watch.py
@@ -1,4 +1,8 @@
-"""How workers are looked at whose connections broke: seldom, and never on an old look's word."""
+"""Checks of workers after connection failures: calls share them, and stale results are not used.
+
+Guards against one connection per failed call, and against a check that began before the worker's
+exit and reports it as alive.
+"""
 
 import asyncio
 
@@ -15,56 +19,58 @@
 ROUTES = [route("talk", "stream", "model", stream_resume=True, max_attempts=1)]
 
 
-async def test_calls_that_break_together_cost_two_connections_at_most(
+async def test_calls_that_fail_together_open_two_connections_at_most(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A reset of many connections at once is no end; twenty looks would be twenty connections."""
-    looks = 0
+    """A reset of many connections is no exit; a check per call would open 20 connections."""
+    checks = 0
     gate = asyncio.Event()
 
-    async def has_ended(address: str, patience: float) -> bool:
-        nonlocal looks
-        looks += 1
+    async def has_exited(address: str, timeout_seconds: float) -> bool:
+        nonlocal checks
+        checks += 1
         await gate.wait()
         return False
 
-    monkeypatch.setattr(crash_watch, "has_ended", has_ended)
+    monkeypatch.setattr(crash_watch, "has_exited", has_exited)
     worker = StandinWorker(events=200, gap=0.05)
     async with world(configuration(1, ROUTES), {"m": (worker, "model")}) as running:
         calls = [await running.call("/talk/x") for _ in range(20)]
         await until(lambda: len(worker.seen) == 20)
         await worker.server.stop()
-        broken = running.nodes[0].crash_watch._tasks
-        await until(lambda: len(broken) == 20)
+        failed_calls = running.nodes[0].crash_watch._tasks
+        await until(lambda: len(failed_calls) == 20)
         gate.set()
-        await until(lambda: not broken)
+        await until(lambda: not failed_calls)
         for call in calls:
             call.close()
         assert running.nodes[0].crash_watch.quarantine.empty
-    assert looks <= 2
+    assert checks <= 2
 
 
-async def test_a_look_that_began_before_the_end_is_not_believed(
+async def test_a_check_that_began_before_the_exit_is_repeated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    answers = [asyncio.get_running_loop().create_future() for _ in range(2)]
-    asked = iter(answers)
-    monkeypatch.setattr(crash_watch, "has_ended", lambda address, patience: _answer(next(asked)))
+    results = [asyncio.get_running_loop().create_future() for _ in range(2)]
+    pending = iter(results)
+    monkeypatch.setattr(
+        crash_watch, "has_exited", lambda address, timeout_seconds: _result(next(pending))
+    )
     watch = CrashWatch(WorkerStatisticsTable(), DecisionLog(None, "n"), NodeMetrics())
     worker = StandinWorker()
     await worker.server.start()
     record = _record(worker)
-    looks = [asyncio.create_task(watch._has_ended(record))]
+    checks = [asyncio.create_task(watch._has_exited(record))]
     await asyncio.sleep(0)
-    looks.append(asyncio.create_task(watch._has_ended(record)))
+    checks.append(asyncio.create_task(watch._has_exited(record)))
     await asyncio.sleep(0)
-    answers[0].set_result(False)
-    answers[1].set_result(True)
-    assert await asyncio.gather(*looks) == [False, True]
+    results[0].set_result(False)
+    results[1].set_result(True)
+    assert await asyncio.gather(*checks) == [False, True]
     await worker.server.stop()
 
 
-async def _answer(future: "asyncio.Future[bool]") -> bool:
+async def _result(future: "asyncio.Future[bool]") -> bool:
     return await future
 
 
@@ -74,7 +80,7 @@
 
 @pytest.mark.parametrize("name", ["safe", "talk"])
 async def test_workers_that_refuse_a_connection_are_no_evidence_against_a_call(name: str) -> None:
-    """A call that no worker had cannot have ended any of them."""
+    """A call that reached no worker cannot have crashed any of them."""
     events = 2 if name == "talk" else 0
     workers = [StandinWorker(events=events) for _ in range(3)]
     routes = [
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -1,14 +1,13 @@
-"""A request that crashes the workers that run it is kept from them, wherever it comes in.
+"""A request that crashes its workers is quarantined, at whichever gateway it arrives.
 
-Users saw engines disappear one after the other, twelve within seven seconds, and with each of
-them up to ten streams of other callers. One request came again and again, by the same caller to
-the same path with the same body, at gateways in turn. Each call of it began with a clean record:
-a call tries few workers, but what its end showed of the request was forgotten with it, so that
-eighteen workers ended under one request.
+Failure: 12 engines crashed within 7 s, each with up to 10 streams of other callers, and 18 workers
+crashed under one request. The same caller sent the same body to the same path again and again, to
+the gateways in round-robin order. A call tries few workers, but the gateways discarded the evidence
+against its request with the call.
 
-Evidence: the sets of streams that broke with each engine had one call without an event in common
-with the next set, by path, caller and body, and no call id; 100 of 102 broken calls broke at one
-worker only, so retries within a call were not the cause.
+The cause was not retries within a call: 100 of 102 failed calls failed at one worker only. The sets
+of streams that failed with consecutive engines had in common one call that had sent no event: the
+same path, caller and body, but no common call id.
 """
 
 from collections.abc import Sequence
@@ -18,9 +17,9 @@
 from mortal_workers import (
     CRASHING,
     CRASHING_KEY,
-    MortalStageWorker,
-    MortalWorker,
-    ends_of,
+    CrashingStageWorker,
+    CrashingWorker,
+    crash_count,
     join_store,
 )
 from node_world import World, configuration, peer_of, route, until, world
@@ -28,11 +27,11 @@
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.process.node import Node
 
-Mortal = MortalWorker | MortalStageWorker
+AnyCrashingWorker = CrashingWorker | CrashingStageWorker
 
 SENDS = 10
-MOST_ENDS = 6
-"""Three ends convict a request; three more may happen before every gateway knows."""
+MAX_CRASHES = 6
+"""3 crashes quarantine a request; 3 more may happen before every gateway has received this."""
 
 STAGES = [{"service": "encode", "since_revision": [], "byte_length": 1000}]
 ROUTES = [
@@ -42,7 +41,7 @@
     route("resumed", "stream", "model", stream_resume=True, max_attempts=3),
     route("staged", "stream", "model", stages=STAGES),
 ]
-WAYS = {
+CALL_KINDS = {
     "plain": ("/safe/x", 0),
     "unrepeatable": ("/once/x", 0),
     "stream": ("/talk/x", 0),
@@ -52,7 +51,7 @@
 
 
 async def send(running: World, path: str, body: bytes, number: int = 0, **options: object) -> int:
-    """Send a request; return its status, or nothing where the answer breaks off."""
+    """Send a request; return its status, or 0 if the connection failed."""
     try:
         response = await running.call(path, number=number, data=body, **options)
         await response.read()
@@ -61,59 +60,63 @@
     return response.status
 
 
-async def send_in_turn(
-    running: World, workers: Sequence[Mortal], path: str, nodes: int, **options: object
+async def send_round_robin(
+    running: World, workers: Sequence[AnyCrashingWorker], path: str, nodes: int, **options: object
 ) -> list[int]:
-    """Send a crashing request again and again, to the gateways in turn."""
+    """Send a crashing request repeatedly, to the gateways in round-robin order."""
     statuses = []
-    for turn in range(SENDS):
-        statuses.append(await send(running, path, CRASHING, turn % nodes, **options))
-        await all_back(running, workers)
+    for attempt in range(SENDS):
+        statuses.append(await send(running, path, CRASHING, attempt % nodes, **options))
+        await wait_for_restarts(running, workers)
     return statuses
 
 
-async def all_back(running: World, workers: Sequence[Mortal]) -> None:
-    """Wait until every worker runs and every gateway knows its newest incarnation."""
+async def wait_for_restarts(running: World, workers: Sequence[AnyCrashingWorker]) -> None:
+    """Wait until every worker runs and every gateway knows its latest incarnation."""
     await until(lambda: all(worker.server.listening for worker in workers))
-    await until(lambda: all(_knows(node, worker) for node in running.nodes for worker in workers))
+    await until(
+        lambda: all(
+            _knows_incarnation(node, worker) for node in running.nodes for worker in workers
+        )
+    )
 
 
-def _knows(node: Node, worker: Mortal) -> bool:
+def _knows_incarnation(node: Node, worker: AnyCrashingWorker) -> bool:
     record = node.mirror.workers.named(worker.worker_id)
     return record is not None and record.born == worker.told["born"]
 
 
-def workers_of(path: str, events_before: int) -> tuple[list[MortalWorker], str]:
-    """Return four workers of the service that a path leads to, and its name."""
+def workers_of(path: str, events_before: int) -> tuple[list[CrashingWorker], str]:
+    """Return 4 workers of the service that a path is routed to, and the service's name."""
     stream = path.split("/")[1] in ("talk", "resumed")
     events = 9 if stream else 0
-    workers = [MortalWorker(events=events, events_before=events_before) for _ in range(4)]
+    workers = [CrashingWorker(events=events, events_before=events_before) for _ in range(4)]
     return workers, "model" if stream else "plain"
 
 
 @pytest.mark.parametrize("nodes", [1, 2])
-@pytest.mark.parametrize("way", WAYS)
-async def test_a_crashing_request_ends_few_workers(way: str, nodes: int) -> None:
-    path, events_before = WAYS[way]
+@pytest.mark.parametrize("way", CALL_KINDS)
+async def test_a_crashing_request_crashes_few_workers(way: str, nodes: int) -> None:
+    path, events_before = CALL_KINDS[way]
     workers, service = workers_of(path, events_before)
     served = {worker.worker_id: (worker, service) for worker in workers}
     async with world(configuration(1, ROUTES), served) as running:
         join_store(running.store, workers, service)
         async with peer_of(running, loopback_address(2)):
             await until(lambda: all(node.ready for node in running.nodes))
-            await send_in_turn(running, workers, path, nodes)
-    assert ends_of(workers) <= MOST_ENDS
+            await send_round_robin(running, workers, path, nodes)
+    assert crash_count(workers) <= MAX_CRASHES
 
 
 @pytest.mark.parametrize("nodes", [1, 2])
-async def test_a_request_whose_stage_crashes_its_workers_ends_few(nodes: int) -> None:
-    engine = MortalWorker(events=3)
-    encoders = [MortalStageWorker() for _ in range(4)]
+async def test_a_request_whose_stage_crashes_workers_crashes_few(nodes: int) -> None:
+    engine = CrashingWorker(events=3)
+    encoders = [CrashingStageWorker() for _ in range(4)]
     served = {worker.worker_id: (worker, "encode") for worker in encoders}
     headers = {**PIECES, "X-Corkcrank-Segment-Key": CRASHING_KEY}
     async with world(configuration(1, ROUTES), {**served, "m": (engine, "model")}) as running:
         join_store(running.store, encoders, "encode")
         async with peer_of(running, loopback_address(2)):
             await until(lambda: all(node.ready for node in running.nodes))
-            await send_in_turn(running, encoders, "/staged/x", nodes, headers=headers)
-    assert ends_of(encoders) <= MOST_ENDS
+            await send_round_robin(running, encoders, "/staged/x", nodes, headers=headers)
+    assert crash_count(encoders) <= MAX_CRASHES
--- a/tests/platform/test_limited_workers.py
+++ b/tests/platform/test_limited_workers.py
@@ -1,4 +1,8 @@
-"""A worker that names a rate limit gets no more than that from all gateways together."""
+"""All gateways together send a worker at most the rate limit that it states.
+
+Guards against gateways that each apply the whole limit, in plain calls, streams, resumed streams
+and stage calls.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,36 +31,36 @@
 SERVICES = {"safe": "plain", "once": "plain", "talk": "model", "resumed": "model"}
 
 
-def allowed(rate: float) -> float:
-    """Return the requests that a worker may get in any four seconds."""
+def allowed_requests(rate: float) -> float:
+    """Return the maximum number of requests to a worker in any 4 seconds."""
     return 1.5 * rate * WINDOW_SECONDS + 5
 
 
-def most_in_a_window(times: list[float]) -> int:
+def max_requests_in_window(times: list[float]) -> int:
     return max(
         (sum(at <= later < at + WINDOW_SECONDS for later in times) for at in times), default=0
     )
 
 
 PREFERRED_NAME, OTHER_NAME = "i-limited", "i-free"
-"""Engines are chosen by their names where they cost the same: the first of these."""
+"""Engines of equal cost are chosen by their names: the first of these 2 is preferred."""
 
 
-def limited(rate: float, **fields: object) -> StandinWorker:
+def limited_worker(rate: float, **fields: object) -> StandinWorker:
     return StandinWorker(named={"Server-Limit": str(rate)}, **fields)  # type: ignore[arg-type]
 
 
-def pair(rate: float, events: int) -> tuple[StandinWorker, StandinWorker]:
-    """Return a limited worker and a free one."""
-    needy = limited(rate, events=events, worker_id=PREFERRED_NAME)
-    return needy, StandinWorker(events=events, worker_id=OTHER_NAME)
+def limited_and_unlimited(rate: float, events: int) -> tuple[StandinWorker, StandinWorker]:
+    """Return a worker with a rate limit and one without."""
+    limited = limited_worker(rate, events=events, worker_id=PREFERRED_NAME)
+    return limited, StandinWorker(events=events, worker_id=OTHER_NAME)
 
 
-Workers = dict[str, tuple[StandinWorker | StandinStageWorker, str]]
+ServedWorkers = dict[str, tuple[StandinWorker | StandinStageWorker, str]]
 
 
 @asynccontextmanager
-async def two_gateways(workers: Workers) -> AsyncIterator[World]:
+async def two_gateways(workers: ServedWorkers) -> AsyncIterator[World]:
     document = configuration(1, ROUTES)
     async with (
         world(document, workers, retry_allowance=1000) as running,
@@ -76,41 +80,48 @@
     return response
 
 
-async def statuses(running: World, name: str) -> list[int]:
-    """Return how many calls ended, one after the other at both gateways in turn."""
+async def call_statuses(running: World, name: str) -> list[int]:
+    """Return the statuses of successive calls, sent to both gateways alternately."""
     return [(await call(running, name, number)).status for number in range(CALLS)]
 
 
 @pytest.mark.parametrize("name", ["safe", "once", "talk"])
-async def test_limited_worker_beside_a_free_one_is_not_sent_more_than_it_takes(name: str) -> None:
+async def test_calls_to_a_limited_worker_beside_an_unlimited_one_keep_its_limit(name: str) -> None:
     events = 2 if name == "talk" else 0
-    needy, free = pair(1, events)
-    served: Workers = {"needy": (needy, SERVICES[name]), "free": (free, SERVICES[name])}
+    limited, unlimited = limited_and_unlimited(1, events)
+    served: ServedWorkers = {
+        "needy": (limited, SERVICES[name]),
+        "free": (unlimited, SERVICES[name]),
+    }
     async with two_gateways(served) as running:
-        assert set(await statuses(running, name)) == {200}
-        assert 0 < most_in_a_window([seen.at for seen in needy.seen]) <= allowed(1)
+        assert set(await call_statuses(running, name)) == {200}
+        assert 0 < max_requests_in_window([seen.at for seen in limited.seen]) <= allowed_requests(1)
 
 
-# A call that may be repeated gives a worker up that is silent for as long as this loop may be.
+# Leaves out repeatable calls: such a call abandons a worker that is silent for a time that this
+# event loop may take to respond.
 @pytest.mark.parametrize("name", ["once", "talk"])
 async def test_calls_that_arrive_together_do_not_exceed_a_limit_that_is_known(name: str) -> None:
     events = 2 if name == "talk" else 0
-    needy, free = pair(1, events)
-    served: Workers = {"needy": (needy, SERVICES[name]), "free": (free, SERVICES[name])}
+    limited, unlimited = limited_and_unlimited(1, events)
+    served: ServedWorkers = {
+        "needy": (limited, SERVICES[name]),
+        "free": (unlimited, SERVICES[name]),
+    }
     async with two_gateways(served) as running:
         for number in range(CALLS):
             await call(running, name, number)
-        assert needy.seen
+        assert limited.seen
         calls = [call(running, name, number) for number in range(CALLS)]
         assert {response.status for response in await asyncio.gather(*calls)} == {200}
-        assert most_in_a_window([seen.at for seen in needy.seen]) <= allowed(1)
+        assert max_requests_in_window([seen.at for seen in limited.seen]) <= allowed_requests(1)
 
 
 @pytest.mark.parametrize("name", ["safe", "talk"])
 async def test_calls_beyond_the_limits_of_all_workers_are_refused_at_once(name: str) -> None:
     events = 2 if name == "talk" else 0
-    workers = [limited(2, events=events) for _ in range(3)]
-    served: Workers = {str(n): (worker, SERVICES[name]) for n, worker in enumerate(workers)}
+    workers = [limited_worker(2, events=events) for _ in range(3)]
+    served: ServedWorkers = {str(n): (worker, SERVICES[name]) for n, worker in enumerate(workers)}
     async with two_gateways(served) as running:
         for number in range(CALLS):
             await call(running, name, number)
@@ -119,33 +130,33 @@
         responses = await asyncio.gather(*calls)
         assert clock.now() - started < 2.0
         for worker in workers:
-            assert most_in_a_window([seen.at for seen in worker.seen]) <= allowed(2)
+            assert max_requests_in_window([seen.at for seen in worker.seen]) <= allowed_requests(2)
         refused = [response for response in responses if response.status != 200]
         assert {response.status for response in refused} == {503}
         assert all(float(response.headers["Retry-After"]) > 0 for response in refused)
 
 
-async def test_streams_taken_up_elsewhere_do_not_exceed_the_limit_of_the_engine() -> None:
+async def test_resumed_streams_do_not_exceed_the_limit_of_the_engine() -> None:
     breaking = StandinWorker(events=4, worker_id=PREFERRED_NAME)
     breaking.faults.extend(["break-after-1"] * CALLS)
-    needy = limited(1, events=4, worker_id=OTHER_NAME)
-    served: Workers = {"breaking": (breaking, "model"), "needy": (needy, "model")}
+    limited = limited_worker(1, events=4, worker_id=OTHER_NAME)
+    served: ServedWorkers = {"breaking": (breaking, "model"), "needy": (limited, "model")}
     async with two_gateways(served) as running:
         for number in range(CALLS):
             with suppress(aiohttp.ClientPayloadError):
                 await call(running, "resumed", number)
         assert breaking.seen
-        assert most_in_a_window([seen.at for seen in needy.seen]) <= allowed(1)
+        assert max_requests_in_window([seen.at for seen in limited.seen]) <= allowed_requests(1)
 
 
-async def test_limited_stage_worker_beside_a_free_one_is_not_called_more_than_it_takes() -> None:
-    needy = StandinStageWorker(named={"Server-Limit": "1"})
-    free = StandinStageWorker()
-    served: Workers = {
+async def test_stage_calls_to_a_limited_worker_beside_an_unlimited_one_keep_its_limit() -> None:
+    limited = StandinStageWorker(named={"Server-Limit": "1"})
+    unlimited = StandinStageWorker()
+    served: ServedWorkers = {
         "m": (StandinWorker(events=2), "model"),
-        "needy": (needy, "encode"),
-        "free": (free, "encode"),
+        "needy": (limited, "encode"),
+        "free": (unlimited, "encode"),
     }
     async with two_gateways(served) as running:
-        assert set(await statuses(running, "staged")) == {200}
-        assert most_in_a_window(needy.calls_at) <= allowed(1)
+        assert set(await call_statuses(running, "staged")) == {200}
+        assert max_requests_in_window(limited.calls_at) <= allowed_requests(1)
--- a/tests/platform/test_quarantined_requests.py
+++ b/tests/platform/test_quarantined_requests.py
@@ -1,7 +1,7 @@
-"""Who learns of a quarantine, what a caller of such a request gets, and who must not be taken in.
+"""Quarantine of requests: which gateways apply it, what callers get, which requests are exempt.
 
-The gateways judged requests one by one and forgot them with the call. Beside the request at fault
-stand its neighbours: calls that were at the same worker, or in the same batch, when it ended.
+Guards against gateways that discard the evidence against a request with its call, and against
+quarantine of neighbours: calls that were at the same worker, or in the same batch, at a crash.
 """
 
 import asyncio
@@ -13,15 +13,15 @@
     CRASHING,
     CRASHING_KEY,
     FIRST_START,
-    Mortality,
-    MortalStageWorker,
-    MortalWorker,
-    ends_of,
+    CrashControl,
+    CrashingStageWorker,
+    CrashingWorker,
+    crash_count,
     join_store,
 )
 from node_world import World, configuration, peer_of, route, settings_for, until, world
 from platform_standins import StandinStageWorker, StandinWorker
-from test_crashing_requests import PIECES, ROUTES, all_back, send
+from test_crashing_requests import PIECES, ROUTES, send, wait_for_restarts
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.request_fingerprint import request_fingerprint
@@ -34,37 +34,41 @@
 
 
 DOWN_SECONDS = 0.8
-"""Time until a worker is back: its end shows by a refused connection only while it is down, and a
-busy machine may hold the look up for a part of a second."""
+"""Time until a worker has restarted. A refused connection shows a crash only while the worker is
+down, and a busy machine may delay the check by part of a second."""
 
 
-def plain_workers(count: int = 4) -> list[MortalWorker]:
-    return [MortalWorker(life=Mortality(down=DOWN_SECONDS)) for _ in range(count)]
+def plain_workers(count: int = 4) -> list[CrashingWorker]:
+    return [
+        CrashingWorker(crash_control=CrashControl(down_seconds=DOWN_SECONDS)) for _ in range(count)
+    ]
 
 
-def served_as(
-    service: str, workers: list[MortalWorker] | list[MortalStageWorker]
+def workers_by_id(
+    service: str, workers: list[CrashingWorker] | list[CrashingStageWorker]
 ) -> dict[str, tuple[StandinWorker | StandinStageWorker, str]]:
     return {worker.worker_id: (worker, service) for worker in workers}
 
 
 def quarantined_at(node: Node) -> list[str]:
-    """Return the requests that a gateway blames now."""
+    """Return the requests that a gateway has quarantined now."""
     return node.crash_watch.quarantine.quarantined(clock.now())
 
 
-async def convict(running: World, workers: list[MortalWorker], path: str = "/safe/x") -> None:
-    """Have a request end three workers, and wait until it is quarantined and they are back."""
+async def quarantine_request(
+    running: World, workers: list[CrashingWorker], path: str = "/safe/x"
+) -> None:
+    """Have a request crash 3 workers; wait until it is quarantined and they have restarted."""
     join_store(running.store, workers, "plain")
     await send(running, path, CRASHING)
     await until(lambda: all(quarantined_at(node) for node in running.nodes))
-    await all_back(running, workers)
+    await wait_for_restarts(running, workers)
 
 
-async def test_a_caller_is_told_that_it_has_not_run_and_when_to_come_back() -> None:
+async def test_a_refusal_says_that_the_call_has_not_run_and_when_to_retry() -> None:
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
-        await convict(running, workers)
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
         answer = await running.call("/safe/x", data=CRASHING)
         body = await answer.json()
         assert (answer.status, body["code"], body["ran"]) == (503, QUARANTINED, "no")
@@ -75,8 +79,8 @@
     workers = plain_workers()
     document = configuration(1, ROUTES)
     document["tenants"].append({"name": "other", "api_keys": ["other-key"], "priority": 1})
-    async with world(document, served_as("plain", workers)) as running:
-        await convict(running, workers)
+    async with world(document, workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
         for worker in workers:
             worker.seen.clear()
         assert await send(running, "/safe/x", b"harmless") == 200
@@ -85,38 +89,38 @@
         assert any(CRASHING in seen.body for worker in workers for seen in worker.seen)
 
 
-async def test_a_gateway_that_starts_later_knows_it_before_it_sends() -> None:
+async def test_a_gateway_that_starts_later_knows_the_quarantine_before_it_sends() -> None:
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
-        await convict(running, workers)
-        ends = ends_of(workers)
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
+        crashes = crash_count(workers)
         async with peer_of(running, loopback_address(2)) as late:
             await until(lambda: bool(quarantined_at(late)))
             await until(lambda: late.ready)
             assert await send(running, "/safe/x", CRASHING, number=1) == 503
-        assert ends_of(workers) == ends
+        assert crash_count(workers) == crashes
 
 
-async def test_a_quarantine_outlasts_every_gateway() -> None:
+async def test_a_quarantine_survives_the_stop_of_every_gateway() -> None:
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
-        await convict(running, workers)
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
         rows = running.store.rows
         await until(lambda: any(table == "quarantine" for table, _ in rows))
-        ends = ends_of(workers)
+        crashes = crash_count(workers)
         await running.nodes[0].stop()
-        async with restarted(running) as node:
+        async with gateway_with_store_only(running) as node:
             await until(lambda: bool(quarantined_at(node)))
             assert await send(running, "/safe/x", CRASHING, number=1) == 503
-        assert ends_of(workers) == ends
+        assert crash_count(workers) == crashes
 
 
-def restarted(running: World) -> "_Restarted":
-    return _Restarted(running)
+def gateway_with_store_only(running: World) -> "_GatewayWithStoreOnly":
+    return _GatewayWithStoreOnly(running)
 
 
-class _Restarted:
-    """A gateway that knows no other: it has the store alone."""
+class _GatewayWithStoreOnly:
+    """A context with a gateway that has no peers and reads its state from the store only."""
 
     def __init__(self, running: World) -> None:
         self._running = running
@@ -137,10 +141,10 @@
         await self._session.close()
 
 
-async def test_a_good_end_removes_the_row() -> None:
+async def test_a_successful_completion_removes_the_row() -> None:
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
-        await convict(running, workers)
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
         rows = running.store.rows
         await until(lambda: any(table == "quarantine" for table, _ in rows))
         quarantine = running.nodes[0].crash_watch.quarantine
@@ -150,8 +154,8 @@
         assert running.nodes[0].crash_watch.quarantine.seconds_left(request, clock.now()) == 0.0
 
 
-async def test_workers_that_live_convict_no_request() -> None:
-    """Connections that are reset, for whatever reason, are no end of a worker."""
+async def test_resets_by_running_workers_quarantine_no_request() -> None:
+    """A connection reset, for any reason, is not evidence that a worker crashed."""
     workers = [StandinWorker(faults=deque(["reset"] * 2)) for _ in range(4)]
     served = {worker.worker_id: (worker, "plain") for worker in workers}
     async with world(configuration(1, ROUTES), served) as running:
@@ -161,25 +165,25 @@
         assert await send(running, "/safe/x", b"ordinary") == 200
 
 
-async def test_an_ordinary_request_that_is_served_in_between_is_never_shut_out() -> None:
-    """The same request of the same caller, while its workers end one after the other."""
+async def test_a_request_that_completes_between_crashes_is_never_quarantined() -> None:
+    """A caller sends the same request again and again while its workers crash one by one."""
     workers = plain_workers(2)
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
         join_store(running.store, workers, "plain")
         for _ in range(5):
-            workers[0].fatal = True
+            workers[0].crashes_always = True
             await asyncio.gather(*(send(running, "/safe/x", b"ordinary") for _ in range(4)))
-            workers[0].fatal = False
-            await all_back(running, workers)
+            workers[0].crashes_always = False
+            await wait_for_restarts(running, workers)
             assert await send(running, "/safe/x", b"ordinary") == 200
         assert not quarantined_at(running.nodes[0])
 
 
-async def test_neighbours_in_a_batch_are_served_and_not_convicted() -> None:
-    """A piece that ends its worker is made again alone; those beside it end well without it."""
-    engine = MortalWorker(events=3)
-    encoders = [MortalStageWorker() for _ in range(4)]
-    served = {**served_as("encode", encoders), "m": (engine, "model")}
+async def test_neighbours_in_a_batch_are_served_and_not_quarantined() -> None:
+    """A piece that crashes its worker is rerun alone; its batch neighbours complete without it."""
+    engine = CrashingWorker(events=3)
+    encoders = [CrashingStageWorker() for _ in range(4)]
+    served = {**workers_by_id("encode", encoders), "m": (engine, "model")}
     staged = route("staged", "stream", "model", stages=ROUTES[4]["stages"])
     async with world(configuration(1, [staged]), served) as running:
         join_store(running.store, encoders, "encode")
@@ -206,10 +210,10 @@
     assert len(quarantined) <= 1
 
 
-async def test_a_call_that_waits_is_not_sent_once_its_request_is_quarantined() -> None:
-    engines = [MortalWorker(events=3) for _ in range(4)]
+async def test_a_waiting_call_is_not_sent_once_its_request_is_quarantined() -> None:
+    engines = [CrashingWorker(events=3) for _ in range(4)]
     encoder = StandinStageWorker(gate=asyncio.Event(), told={"born": FIRST_START})
-    served = {**served_as("model", engines), "e": (encoder, "encode")}
+    served = {**workers_by_id("model", engines), "e": (encoder, "encode")}
     headers = {**PIECES, "X-Corkcrank-Segment-Key": "k"}
     async with world(configuration(1, ROUTES), served) as running:
         waiting = asyncio.create_task(send(running, "/staged/x", CRASHING, headers=headers))
@@ -221,13 +225,13 @@
         assert encoder.gate is not None
         encoder.gate.set()
         assert await waiting == 503
-    assert ends_of(engines) == 0
+    assert crash_count(engines) == 0
 
 
-async def test_workers_that_had_ended_before_convict_no_request() -> None:
-    """Pieces whose worker refused the connection were never there: 88 convictions in six plays."""
-    encoders = [MortalStageWorker() for _ in range(4)]
-    served = {**served_as("encode", encoders), "m": (MortalWorker(events=3), "model")}
+async def test_workers_that_had_exited_before_quarantine_no_request() -> None:
+    """Pieces that a worker refused never ran there; 6 simulations had 88 quarantines by them."""
+    encoders = [CrashingStageWorker() for _ in range(4)]
+    served = {**workers_by_id("encode", encoders), "m": (CrashingWorker(events=3), "model")}
     async with world(configuration(1, ROUTES), served) as running:
         for encoder in encoders:
             encoder.server.kill()
@@ -237,17 +241,17 @@
         assert running.nodes[0].crash_watch.quarantine.empty
 
 
-async def test_a_row_is_written_once_for_each_end() -> None:
-    """A request with ends that an earlier good end had cleared was written twice a second."""
+async def test_a_row_is_written_once_for_each_crash() -> None:
+    """A request whose earlier crashes a successful call had cleared was written twice a second."""
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
         quarantine = running.nodes[0].crash_watch.quarantine
         request = request_fingerprint("tenant", "/safe/x", CRASHING)
         quarantine.note_end(request, "before", clock.now())
         quarantine.note_sound(request, clock.now())
-        await convict(running, workers)
+        await quarantine_request(running, workers)
         rows, calls = running.nodes[0]._quarantine_rows, running.store.calls
-        # The row is in the store before the gateway has the answer that it is.
+        # The store holds the row before the gateway has received the confirmation.
         await until(lambda: rows._written.get(request) == 3)
         written = calls.count("/rows-tx")
         await rows._write()
--- a/tests/platform/test_released_requests.py
+++ b/tests/platform/test_released_requests.py
@@ -1,12 +1,12 @@
-"""Operators see which requests are kept from workers, and free one that they know to be sound."""
+"""Operators see the quarantined requests, and can release one that they know to be healthy."""
 
 import json
 from pathlib import Path
 
-from mortal_workers import CRASHING, ends_of
+from mortal_workers import CRASHING, crash_count
 from node_world import World, configuration, peer_of, until, world
-from test_crashing_requests import ROUTES, all_back, send
-from test_quarantined_requests import convict, plain_workers, served_as
+from test_crashing_requests import ROUTES, send, wait_for_restarts
+from test_quarantined_requests import plain_workers, quarantine_request, workers_by_id
 
 from corkcrank.cli.explain import explain_call
 from corkcrank.contracts import clock
@@ -17,7 +17,9 @@
 REQUEST = request_fingerprint("tenant", "/safe/x", CRASHING)
 
 
-async def ask(running: World, path: str, body: str | None = None) -> tuple[int, str]:
+async def request_operator_path(
+    running: World, path: str, body: str | None = None
+) -> tuple[int, str]:
     assert running.session is not None
     url = f"http://{running.nodes[0].fleet.own_address}{path}"
     method = "GET" if body is None else "POST"
@@ -27,10 +29,10 @@
 
 async def test_dump_and_metrics_show_a_quarantine() -> None:
     workers = plain_workers()
-    async with world(configuration(1, ROUTES), served_as("plain", workers)) as running:
-        await convict(running, workers)
+    async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
+        await quarantine_request(running, workers)
         (shown,) = running.nodes[0].dump().requests
-        _, metrics = await ask(running, "/metrics")
+        _, metrics = await request_operator_path(running, "/metrics")
     assert (shown.request, shown.state, len(shown.ended_workers)) == (REQUEST, "quarantined", 3)
     assert 50.0 < shown.seconds <= 60.0
     assert 'corkcrank_requests_that_crash{state="quarantined"} 1.0' in metrics
@@ -38,37 +40,37 @@
     assert 'corkcrank_worker_ends_total{service="plain"} 3.0' in metrics
 
 
-async def test_a_released_request_is_sent_again_by_every_gateway() -> None:
+async def test_every_gateway_sends_a_released_request_again() -> None:
     workers = plain_workers()
     async with (
-        world(configuration(1, ROUTES), served_as("plain", workers)) as running,
+        world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running,
         peer_of(running, loopback_address(2)) as peer,
     ):
         await until(lambda: peer.ready)
-        await convict(running, workers)
-        ends = ends_of(workers)
-        status, answer = await ask(running, RELEASE_REQUEST_PATH, REQUEST)
+        await quarantine_request(running, workers)
+        crashes = crash_count(workers)
+        status, answer = await request_operator_path(running, RELEASE_REQUEST_PATH, REQUEST)
         assert (status, answer) == (
             200,
             f'{{"request":"{REQUEST}","before":"quarantined","state":"sound"}}',
         )
         await until(lambda: not peer.crash_watch.quarantine.quarantined(clock.now()))
         await send(running, "/safe/x", CRASHING, number=1)
-        await all_back(running, workers)
-        assert ends_of(workers) > ends
+        await wait_for_restarts(running, workers)
+        assert crash_count(workers) > crashes
 
 
-async def test_what_is_no_fingerprint_gets_a_numbered_error() -> None:
-    async with world(configuration(1, ROUTES), served_as("plain", plain_workers(1))) as running:
+async def test_an_invalid_fingerprint_gets_a_numbered_error() -> None:
+    async with world(configuration(1, ROUTES), workers_by_id("plain", plain_workers(1))) as running:
         for text in ("", "nothing", REQUEST + "0", "\xff\xfe"):
-            status, answer = await ask(running, RELEASE_REQUEST_PATH, text)
+            status, answer = await request_operator_path(running, RELEASE_REQUEST_PATH, text)
             assert status == 400
             assert '"code": 2001' in answer
 
 
-async def test_a_request_that_nobody_holds_anything_against_stays_so() -> None:
-    async with world(configuration(1, ROUTES), served_as("plain", plain_workers(1))) as running:
-        status, answer = await ask(running, RELEASE_REQUEST_PATH, REQUEST)
+async def test_a_request_without_crashes_stays_healthy_when_released() -> None:
+    async with world(configuration(1, ROUTES), workers_by_id("plain", plain_workers(1))) as running:
+        status, answer = await request_operator_path(running, RELEASE_REQUEST_PATH, REQUEST)
     assert status == 200
     assert answer.endswith('"before":"sound","state":"sound"}')
 
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -1,8 +1,8 @@
-"""Workers that start again under their names, and know nothing of before.
+"""Workers that restart under their names, without the state of the previous process.
 
-A restarted stage worker's queue still counted results that had gone with the process, and the
-handles of those were freed at the new process; a worker that had once answered 421 got no request
-again, and the failures and prefixes of before counted for the new process.
+Failures: the queue of a restarted stage worker still counted results that the process had lost, and
+their handles were freed at the new process. A worker that had once responded 421 received no
+request again. Failures and cached prefixes of the previous process counted for the new one.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
     route("safe", "safe", "plain"),
     route("talk", "stream", "model", stream_resume=True, max_attempts=3),
     route("staged", "stream", "model", stages=STAGES),
-    # Two stages read the first one's results, so that these are held until both have ended.
+    # 2 stages read the results of the first, so these stay stored until both have completed.
     route("forked", "stream", "model", stages=[*STAGES, SECOND_STAGE, SECOND_STAGE]),
 ]
 PIECES = {"X-Corkcrank-Segments": "1", "X-Corkcrank-Segment-Key": "abcd"}
@@ -30,18 +30,18 @@
 FIRST_START, SECOND_START = 1_764_000_000_000, 1_764_000_009_000
 
 
-def start_again(running: World, worker: StandinWorker | StandinStageWorker, service: str) -> None:
-    """Have a worker's entry tell of a new incarnation."""
+def restart(running: World, worker: StandinWorker | StandinStageWorker, service: str) -> None:
+    """Write a worker's entry with a new incarnation."""
     worker.told["born"] = SECOND_START
     running.store.put("servers", worker.worker_id, worker.entry(service))
 
 
-def born(node: Node, name: str) -> int | None:
+def known_start(node: Node, name: str) -> int | None:
     record = node.mirror.workers.named(name)
     return record.born if record is not None else None
 
 
-async def test_the_name_alone_goes_on_the_wire() -> None:
+async def test_only_the_name_is_sent_on_the_wire() -> None:
     one = StandinWorker(told={"born": FIRST_START})
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         assert (await running.call("/safe/x", method="GET")).status == 200
@@ -49,7 +49,7 @@
     assert seen.headers["X-Corkcrank-Expect-Instance"] == one.worker_id
 
 
-async def test_a_draining_worker_that_has_started_again_is_ready() -> None:
+async def test_a_draining_worker_that_has_restarted_is_ready() -> None:
     one = StandinWorker(told={"born": FIRST_START})
     async with (
         world(configuration(1, ROUTES), {"one": (one, "plain")}) as running,
@@ -58,14 +58,14 @@
         nodes = [running.nodes[0], second]
         running.store.put("servers", one.worker_id, one.entry("plain", state="draining"))
         await until(lambda: not any(node.mirror.workers.usable("plain") for node in nodes))
-        start_again(running, one, "plain")
-        await until(lambda: all(born(node, one.worker_id) == SECOND_START for node in nodes))
+        restart(running, one, "plain")
+        await until(lambda: all(known_start(node, one.worker_id) == SECOND_START for node in nodes))
         for number in range(2):
             response = await running.call("/safe/x", method="GET", number=number)
             assert response.status == 200
 
 
-async def test_a_421_of_one_incarnation_does_not_condemn_the_next() -> None:
+async def test_a_421_of_one_incarnation_does_not_exclude_the_next() -> None:
     one = StandinWorker(told={"born": FIRST_START})
     name = one.worker_id
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
@@ -76,12 +76,12 @@
         assert (await running.call("/safe/x", method="GET")).status == 503
         assert node.services.worker_statistics.of(old.worker_id).leaving
         one.worker_id = name
-        start_again(running, one, "plain")
-        await until(lambda: born(node, name) == SECOND_START)
+        restart(running, one, "plain")
+        await until(lambda: known_start(node, name) == SECOND_START)
         assert (await running.call("/safe/x", method="GET")).status == 200
 
 
-async def test_failures_and_prefixes_of_an_incarnation_go_with_it() -> None:
+async def test_failures_and_prefixes_of_an_incarnation_are_removed_with_it() -> None:
     engine = StandinWorker(events=2, told={"born": FIRST_START})
     prompt = {
         "X-Corkcrank-Model": "m",
@@ -96,16 +96,16 @@
         assert old is not None
         services.worker_statistics.of(old.worker_id).failures.append(0.0)
         assert old.worker_id in services.engines._memories
-        start_again(running, engine, "model")
-        await until(lambda: born(running.nodes[0], engine.worker_id) == SECOND_START)
+        restart(running, engine, "model")
+        await until(lambda: known_start(running.nodes[0], engine.worker_id) == SECOND_START)
         new = services.mirror.workers.named(engine.worker_id)
         assert new is not None
         assert not services.worker_statistics.of(new.worker_id).failures
         assert not services.engines._memories
 
 
-async def test_room_and_handles_of_an_incarnation_go_with_it() -> None:
-    """The next one may give the same handles to other results: they must not be freed there."""
+async def test_room_and_handles_of_an_incarnation_are_removed_with_it() -> None:
+    """The next incarnation may reuse the handles for other results: these must not be freed."""
     encode = StandinStageWorker(told={"born": FIRST_START})
     rerank = StandinStageWorker(gate=asyncio.Event())
     served = {
@@ -120,8 +120,8 @@
         old = node.mirror.workers.named(encode.worker_id)
         assert old is not None
         assert node.stage_owner.queue(old.worker_id) is not None
-        start_again(running, encode, "encode")
-        await until(lambda: born(node, encode.worker_id) == SECOND_START)
+        restart(running, encode, "encode")
+        await until(lambda: known_start(node, encode.worker_id) == SECOND_START)
         assert node.stage_owner.queue(old.worker_id) is None
         assert rerank.gate is not None
         rerank.gate.set()
@@ -132,7 +132,7 @@
         assert encode.held == encode.made
 
 
-async def test_pieces_that_wait_for_an_incarnation_are_made_by_the_next() -> None:
+async def test_pieces_that_wait_for_an_incarnation_are_run_by_the_next() -> None:
     encode = StandinStageWorker(gate=asyncio.Event(), told={"born": FIRST_START})
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -144,8 +144,8 @@
         queue = node.stage_owner.queue(old.worker_id)
         assert queue is not None
         await until(lambda: queue.waiting == 2)
-        start_again(running, encode, "encode")
-        await until(lambda: born(node, encode.worker_id) == SECOND_START)
+        restart(running, encode, "encode")
+        await until(lambda: known_start(node, encode.worker_id) == SECOND_START)
         assert not queue.waiting
         assert encode.gate is not None
         encode.gate.set()
@@ -162,17 +162,17 @@
 @pytest.mark.parametrize(
     ("told", "booked"), [(FIRST_START, True), (SECOND_START, False), (None, False)]
 )
-async def test_a_report_of_another_incarnation_is_not_booked(
+async def test_a_report_of_another_incarnation_is_not_applied(
     told: int | None, *, booked: bool
 ) -> None:
     encode = StandinStageWorker(free_mb=1.0, told={"born": FIRST_START})
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
         stage_owner = running.nodes[0].stage_owner
-        heard: list[str] = []
+        applied_for: list[str] = []
         room_changed = stage_owner.room._on_change
         stage_owner.room._on_change = lambda worker_id: (
-            heard.append(worker_id),
+            applied_for.append(worker_id),
             room_changed(worker_id),
         )
         encode.told = {"born": told} if told is not None else {}
@@ -182,13 +182,13 @@
         record = running.nodes[0].mirror.workers.named(encode.worker_id)
         assert record is not None
         await until(lambda: not any(entry.room.asking for entry in stage_owner._queues))
-        assert heard == ([record.worker_id] if booked else [])
+        assert applied_for == ([record.worker_id] if booked else [])
 
 
 @pytest.mark.parametrize(
     "told", [{"free_mb": "much"}, {"free_mb": None}, {"free_mb": -1.0}, {"born": "yesterday"}]
 )
-async def test_a_report_that_cannot_be_read_is_counted(told: dict[str, object]) -> None:
+async def test_an_unreadable_report_is_counted(told: dict[str, object]) -> None:
     encode = StandinStageWorker()
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
--- a/tests/platform/test_suspended_machine.py
+++ b/tests/platform/test_suspended_machine.py
@@ -1,9 +1,9 @@
-"""A machine that was suspended judges by the time that has passed, not by the time that it ran.
+"""After a suspension of the machine, ages and deadlines include the time of the suspension.
 
-The steady clock of the language stands still while a machine is suspended. A gateway that woke
-after ten seconds held its list of workers, its peers, its callers' deadlines and the grace of its
-stop to be as fresh as before: it sent calls to workers whose callers had given them up, and went on
-with a stop that the platform had long ended.
+Python's monotonic clock stops while a machine is suspended. By that clock, a gateway that resumed
+after 10 seconds had an up-to-date list of workers and peers, and unchanged deadlines of callers and
+of its stop's grace period. So it sent calls that their callers had abandoned, and continued a stop
+whose grace period the platform counted as over.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class Suspensions:
-    """Has the clocks that count a suspension jump, as they do when a machine wakes."""
+    """Advances the clock that includes suspensions, as when a suspended machine resumes."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self._seconds = 0.0
@@ -48,7 +48,7 @@
     return Suspensions(monkeypatch)
 
 
-async def test_a_call_whose_time_is_over_is_not_sent_to_an_engine(suspensions: Suspensions) -> None:
+async def test_a_call_past_its_deadline_is_not_sent_to_an_engine(suspensions: Suspensions) -> None:
     engine, encoder = StandinWorker(events=3), StandinStageWorker(gate=asyncio.Event())
     served = {"m": (engine, "model"), "e": (encoder, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/once/x"])
-async def test_a_call_whose_time_is_over_is_not_sent_again(
+async def test_a_call_past_its_deadline_is_not_sent_again(
     path: str, suspensions: Suspensions
 ) -> None:
     workers = [StandinWorker(hold=asyncio.Event()) for _ in range(2)]
@@ -77,7 +77,7 @@
     assert sum(len(worker.seen) for worker in workers) == 1
 
 
-async def test_a_stop_ends_by_the_time_that_the_platform_counts(suspensions: Suspensions) -> None:
+async def test_the_grace_period_of_a_stop_includes_a_suspension(suspensions: Suspensions) -> None:
     worker = StandinWorker(hold=asyncio.Event())
     document = configuration(1, ROUTES)
     async with world(document, {"one": (worker, "plain")}, grace=30.0) as running:
@@ -90,7 +90,7 @@
             await stopping
 
 
-async def test_what_is_known_of_others_is_as_old_as_it_is(suspensions: Suspensions) -> None:
+async def test_the_age_of_the_configuration_includes_a_suspension(suspensions: Suspensions) -> None:
     served = {"one": (StandinWorker(), "plain")}
     async with (
         world(configuration(1, ROUTES), served) as running,
@@ -98,16 +98,16 @@
     ):
         await until(lambda: all(node.ready for node in running.nodes))
         node = running.nodes[0]
-        before = dump_ages(running)
+        before = configuration_age(running)
         suspensions.suspend()
-        assert dump_ages(running) >= before + SUSPENDED_SECONDS - 1.0
-        # The store answers, the peer is heard again, and nobody was taken for dead.
-        await until(lambda: dump_ages(running) < 2.0)
+        assert configuration_age(running) >= before + SUSPENDED_SECONDS - 1.0
+        # The store responds, heartbeats of the peer arrive, and no member was removed as failed.
+        await until(lambda: configuration_age(running) < 2.0)
         assert len(node.dump().members) == 1
 
 
-def dump_ages(running: World) -> float:
-    """Return the age of what the store last told about the configuration."""
+def configuration_age(running: World) -> float:
+    """Return the age in seconds of the last confirmation of the configuration by the store."""
     return running.nodes[0].dump().configuration_age
 
 
--- a/tests/platform/test_worker_health.py
+++ b/tests/platform/test_worker_health.py
@@ -1,7 +1,8 @@
-"""Workers that fail calls, at real gateways: what counts as a failure, who is told, what is shown.
+"""Outlier detection at real gateways: what counts as a failure, reports to peers, dump and metrics.
 
-An answer that a worker is full, that a deadline has passed, or that the caller made a mistake
-says nothing against the worker; nor does a caller that leaves.
+Guards against workers that are blamed for other causes: a response that the worker is full, that a
+deadline has passed or that the caller made an error is no failure of the worker; nor is a caller
+that disconnects.
 """
 
 import asyncio
@@ -33,13 +34,13 @@
 EVENTS = 3
 
 
-def known(node: Node, worker_id: str) -> Counts:
-    """Return what a gateway knows of a worker, once breaks are settled."""
+def recorded_counts(node: Node, worker_id: str) -> Counts:
+    """Return a gateway's outcome counts of a worker, when each connection failure is decided."""
     return node._health._outcomes.evidence(worker_id, clock.now() + 1.0).counts
 
 
 async def counts_after(path: str, answer: Answer) -> Counts:
-    """Return what is known of the only worker after one call."""
+    """Return the outcome counts of the only worker after one call."""
     engine = ScriptedEngine([lambda after: answer])
     service = "model" if path.startswith("/talk") else "plain"
     async with world(configuration(1, ROUTES), {"w": (engine, service)}) as running:
@@ -49,7 +50,7 @@
         except aiohttp.ClientError:
             assert answer.ending is Ending.RESET
         await until(lambda: not running.nodes[0].callers.in_flight)
-        return known(running.nodes[0], engine.worker_id)
+        return recorded_counts(running.nodes[0], engine.worker_id)
 
 
 @pytest.mark.parametrize("path", ["/talk/x", "/read/x", "/write/x"])
@@ -57,7 +58,7 @@
     ("status", "failed", "served"),
     [(500, True, False), (502, True, False), (504, False, False), (400, False, True)],
 )
-async def test_what_an_answer_says_of_its_worker(
+async def test_the_status_of_a_response_decides_its_outcome(
     path: str, status: int, failed: bool, served: bool
 ) -> None:
     counts = await counts_after(path, Answer(b"x", status, Framing.LENGTH))
@@ -65,7 +66,7 @@
     assert (counts.served > 0) == served
 
 
-async def test_a_served_stream_and_one_that_broke() -> None:
+async def test_a_completed_stream_is_served_and_a_reset_one_failed() -> None:
     whole = await counts_after("/talk/x", honest(EVENTS)(0))
     assert whole.served > 0
     assert not whole.failed
@@ -79,20 +80,20 @@
     async with world(configuration(1, ROUTES), {"w": (worker, "plain")}) as running:
         response = await running.call(path)
         assert response.status == 503
-        assert known(running.nodes[0], worker.worker_id) == Counts()
+        assert recorded_counts(running.nodes[0], worker.worker_id) == Counts()
 
 
-async def test_a_caller_that_leaves_says_nothing_of_the_worker() -> None:
+async def test_a_caller_that_disconnects_counts_no_outcome_of_the_worker() -> None:
     worker = StandinWorker(events=EVENTS, hold=asyncio.Event())
     async with world(configuration(1, ROUTES), {"w": (worker, "model")}) as running:
         call = asyncio.create_task(running.call("/talk/x"))
         await until(lambda: bool(worker.seen))
         call.cancel()
         await until(lambda: not running.nodes[0].callers.in_flight)
-        assert known(running.nodes[0], worker.worker_id) == Counts()
+        assert recorded_counts(running.nodes[0], worker.worker_id) == Counts()
 
 
-def fail(node: Node, record: WorkerRecord, times: int) -> None:
+def record_failures(node: Node, record: WorkerRecord, times: int) -> None:
     for _ in range(times):
         node._health.answered(record, 500)
 
@@ -101,7 +102,7 @@
     return node._worker_statistics.of(record.worker_id).verdict
 
 
-async def test_two_gateways_learn_together_what_neither_knows_alone() -> None:
+async def test_two_gateways_eject_a_worker_by_their_joint_evidence() -> None:
     served = {str(number): (StandinWorker(events=EVENTS), "model") for number in range(3)}
     async with (
         world(configuration(1, ROUTES), served) as running,
@@ -110,21 +111,21 @@
         first = running.nodes[0]
         await acquainted(first, second)
         record = first.mirror.workers.usable("model")[0]
-        fail(first, record, 2)
+        record_failures(first, record, 2)
         assert verdict(first, record) is Verdict.SOUND
-        fail(second, record, 2)
+        record_failures(second, record, 2)
         await until(lambda: verdict(first, record) is Verdict.EJECTED)
         await until(lambda: verdict(second, record) is Verdict.EJECTED)
 
 
-async def test_dump_metrics_and_log_show_an_ejection_and_why() -> None:
+async def test_dump_metrics_and_log_show_an_ejection_and_its_evidence() -> None:
     served = {str(number): (StandinWorker(events=EVENTS), "model") for number in range(3)}
     async with world(configuration(1, ROUTES), served) as running:
         node = running.nodes[0]
         lines: list[tuple[LogEvent, dict[str, Any]]] = []
         node._log.write = lambda event, **fields: lines.append((event, fields))  # type: ignore[method-assign]
         record = node.mirror.workers.usable("model")[0]
-        fail(node, record, 4)
+        record_failures(node, record, 4)
         dump = json.loads(await operators_page(running, "/dump"))
         metrics = await operators_page(running, "/metrics")
         await _calls(running, 6)
--- a/tests/platform/test_worker_statements.py
+++ b/tests/platform/test_worker_statements.py
@@ -1,4 +1,4 @@
-"""What workers say of themselves in the heads of their answers is read, logged and counted."""
+"""Statements of workers in their response headers are read, logged and counted."""
 
 from typing import Any
 
@@ -22,8 +22,8 @@
 ]
 
 
-def lines_of(running: World, monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """Return the lines that the first gateway logs from now on."""
+def capture_log(running: World, monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
+    """Return a list that receives each line that the first gateway logs from now on."""
     lines: list[dict[str, Any]] = []
     log = running.nodes[0]._log
     monkeypatch.setattr(log, "write", lambda event, **fields: lines.append({"e": event, **fields}))
@@ -40,36 +40,36 @@
 @pytest.mark.parametrize(
     "value", ["", "abc", "-1", "nan", "inf", "-inf", "1e999", "1;2", "0x10", "-0.1", "9" * 5000]
 )
-def test_a_rate_limit_that_is_no_rate_is_unreadable(value: str) -> None:
+def test_an_invalid_rate_limit_is_unreadable(value: str) -> None:
     limit = PlatformStatementCodec().read_statement({"Server-Limit": value}).rate_limit
     assert isinstance(limit, Unreadable)
     assert len(limit.reason) < 80
 
 
-async def test_a_limit_is_logged_when_it_is_named_changes_and_ends(
+async def test_a_limit_is_logged_when_it_is_stated_changes_and_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     worker = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
-        lines = lines_of(running, monkeypatch)
+        lines = capture_log(running, monkeypatch)
         for named in ("20", "20", "15.5", "abc", ""):
             worker.named = {"Server-Limit": named} if named else {}
             assert (await running.call("/safe/x", method="GET")).status == 200
         metrics = await operators_page(running, "/metrics")
-    heard = [line for line in lines if line["e"] == LogEvent.RATE_LIMIT_HEARD]
-    assert [(line["change"], line["rate"]) for line in heard] == [
+    logged = [line for line in lines if line["e"] == LogEvent.RATE_LIMIT_HEARD]
+    assert [(line["change"], line["rate"]) for line in logged] == [
         ("named", 20.0),
         ("changed", 15.5),
         ("ended", None),
     ]
-    assert {line["worker"] for line in heard} == {worker.worker_id}
+    assert {line["worker"] for line in logged} == {worker.worker_id}
     unreadable = [line["reason"] for line in lines if line["e"] == LogEvent.RATE_LIMIT_UNREADABLE]
     assert unreadable == ["rate limit is 'abc'"]
     for change in ("named", "changed", "ended", "unreadable"):
         assert f'corkcrank_rate_limit_changes_total{{change="{change}"}} 1.0' in metrics
 
 
-async def test_limits_of_engines_and_stage_workers_are_heard_too() -> None:
+async def test_limits_of_engines_and_stage_workers_are_stored_too() -> None:
     engine = StandinWorker(events=2, named={"Server-Limit": "3"})
     encoder = StandinStageWorker(named={"Server-Limit": "5"})
     served = {"m": (engine, "model"), "e": (encoder, "encode")}
@@ -89,7 +89,7 @@
 ) -> None:
     worker = StandinWorker(named={"X-Corkcrank-Colour": "red"})
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
-        lines = lines_of(running, monkeypatch)
+        lines = capture_log(running, monkeypatch)
         for _ in range(3):
             assert (await running.call("/safe/x", method="GET")).status == 200
         metrics = await operators_page(running, "/metrics")
@@ -98,7 +98,7 @@
     assert "corkcrank_unknown_headers_total 3.0" in metrics
 
 
-async def test_a_callers_copy_of_the_header_names_no_limit() -> None:
+async def test_a_callers_copy_of_the_header_sets_no_limit() -> None:
     worker = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
         response = await running.call("/safe/x", method="GET", headers={"Server-Limit": "0"})
@@ -106,7 +106,7 @@
         assert list(running.nodes[0].services.statements.limits) == []
 
 
-async def test_an_answer_of_another_worker_at_the_address_names_no_limit() -> None:
+async def test_a_response_of_another_worker_at_the_address_sets_no_limit() -> None:
     worker = StandinWorker(named={"Server-Limit": "0"})
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
         worker.worker_id = "another"
