--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -205,10 +205,10 @@
             forecast_ratios=self._forecast_bias.reported(now),
             strength=self._fleet.own_strength,
             outcomes=self._health.reported(now),
-            trials=self._crash_watch.quarantine.reported_trials(now, self._fleet.interval()),
+            trials=self._crash_watch.quarantine.trial_reports(now, self._fleet.interval()),
             zone_states=self._mirror.evacuations.told(),
             limits=self._statements.limits.reported(now),
-            crashes=self._crash_watch.quarantine.reported(now, self._fleet.interval()),
+            crashes=self._crash_watch.quarantine.crash_reports(now, self._fleet.interval()),
         )
 
     def _store_contact(self, table: StoreTable, now: float) -> ReportedStoreContact:
--- a/src/corkcrank/node/membership/peer_server.py
+++ b/src/corkcrank/node/membership/peer_server.py
@@ -209,7 +209,7 @@
         return web.Response(body=msgspec.msgpack.encode(answer))
 
     async def _crashes(self, request: web.BaseRequest) -> web.Response:
-        reports = self._crash_watch.quarantine.all_reports(clock.now())
+        reports = self._crash_watch.quarantine.all_crash_reports(clock.now())
         return web.Response(body=msgspec.msgpack.encode(CrashesAnswer(reports)))
 
     async def _release_request(self, request: web.BaseRequest) -> web.Response:
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -23,7 +23,7 @@
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.node.workers.crash_watch import CrashWatch
 from corkcrank.scheduling.crash_records import CrashRecord
-from corkcrank.scheduling.crash_reports import CrashReport, RequestAtEnd
+from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash
 
 READ_DELAY_SECONDS = 0.5
 """Time from serving to the read: two heartbeats of a small fleet, by which a gateway knows whether
@@ -161,14 +161,14 @@
         offset = contact.store_time - contact.heard_at
         rows = [
             (request, self._row(request, offset))
-            for request in self._quarantine.quarantined(now)
+            for request in self._quarantine.blamed_requests(now)
             if self._fleet.zone_owner("", request, now) == self._fleet.own_name
         ]
         return [(key, row) for key, row in rows if row.size != self._written.get(key)]
 
     def _row(self, request: str, offset: float) -> _QuarantineRow:
         """Return the row of a request; ``offset`` is from the own clock to the store's."""
-        ends = self._quarantine.records.suspected_ends(request)
+        ends = self._quarantine.records.suspected_crashes(request)
         return _QuarantineRow(tuple(_end_row(record, offset) for record in ends))
 
 
@@ -180,6 +180,6 @@
 
 
 def _report(end: _EndRow, store_time: float) -> CrashReport:
-    items = [RequestAtEnd(suspect.request, suspect.progressed) for suspect in end.suspects]
+    items = [RequestAtCrash(suspect.request, suspect.progressed) for suspect in end.suspects]
     age = max(0.0, store_time - end.at)
-    return CrashReport.of(end.worker_id, age, items, incomplete=end.incomplete)
+    return CrashReport.from_requests(end.worker_id, age, items, incomplete=end.incomplete)
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -192,7 +192,7 @@
             request=request,
             state=quarantine.state(request, now).value,
             ended_workers=tuple(
-                sorted(record.worker_id for record in quarantine.records.of_request(request))
+                sorted(record.worker_id for record in quarantine.records.for_request(request))
             ),
             seconds=round(quarantine.seconds_left(request, now), 3),
             rival=verdicts[request].rival if request in verdicts else "",
--- a/src/corkcrank/node/streams/stream_part.py
+++ b/src/corkcrank/node/streams/stream_part.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from corkcrank.node.streams.events import StreamEvent
-from corkcrank.scheduling.crash_reports import BEGINNING_SECONDS
+from corkcrank.scheduling.crash_reports import EARLY_RUN_SECONDS
 
 FIRST_EVENT_IDS = (0, 1)
 """Ids that the first event of a stream may have: 1 in each of 173 streams of five engines'
@@ -85,7 +85,7 @@
 
     def progressed(self, now: float) -> bool:
         """Return whether the engine had been at work for longer than a request that crashes it."""
-        return self.begun_at is not None and now - self.begun_at > BEGINNING_SECONDS
+        return self.begun_at is not None and now - self.begun_at > EARLY_RUN_SECONDS
 
     def whole_at_end(self) -> bool:
         r"""Return whether a body that has ended properly was the end of the stream.
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -77,7 +77,7 @@
         if self.quarantine.empty:
             return False
         state = self.quarantine.state(call.fingerprint, clock.now())
-        return state is not RequestState.SOUND
+        return state is not RequestState.HEALTHY
 
     def note_sent(self, call: OpaqueCall) -> None:
         """Record that a call is sent to a worker.
@@ -86,7 +86,7 @@
         """
         if self.quarantine.empty:
             return
-        if self.quarantine.note_sent(call.fingerprint, clock.now()):
+        if self.quarantine.record_sent(call.fingerprint, clock.now()):
             self._log.write(LogEvent.REQUEST_TRIED, call=call.call_id, request=call.fingerprint)
             self.on_news()
 
@@ -105,7 +105,7 @@
         """Record that a worker completed a call: this clears the suspicion of its request."""
         if self.quarantine.empty:
             return
-        if self.quarantine.note_sound(call.fingerprint, clock.now()):
+        if self.quarantine.record_success(call.fingerprint, clock.now()):
             self._log.write(LogEvent.REQUEST_CLEARED, call=call.call_id, request=call.fingerprint)
             self._review_verdicts()
             self.on_news()
@@ -116,7 +116,7 @@
         It may not have reported the requests that it had at crashed workers, so crash records of
         that time may be incomplete.
         """
-        if self.quarantine.note_loss(last_heard_at, clock.now()):
+        if self.quarantine.record_gateway_failure(last_heard_at, clock.now()):
             self._log.write(
                 LogEvent.EVIDENCE_INCOMPLETE,
                 member=member,
@@ -132,7 +132,7 @@
         for report in reports:
             if problem := report.problem():
                 self._record_unreadable_report(problem, source)
-            elif self.quarantine.take(report, now):
+            elif self.quarantine.apply_report(report, now):
                 changed = True
                 self._worker_statistics.of(report.worker_id).note_ended(now - report.age)
         if changed:
@@ -142,14 +142,14 @@
     def take_trials(self, reports: Iterable[TrialReport]) -> None:
         """Apply a peer's reports of calls of requests on probation."""
         now = clock.now()
-        if any([self.quarantine.take_trial(report, now) for report in reports]):
+        if any([self.quarantine.apply_trial_report(report, now) for report in reports]):
             self.on_news()
 
     def release(self, request: str) -> ReleaseAnswer:
         """Release a request from quarantine, for an operator who knows that it is healthy."""
         now = clock.now()
         before = self.quarantine.state(request, now)
-        if self.quarantine.note_sound(request, now):
+        if self.quarantine.record_success(request, now):
             self._log.write(LogEvent.REQUEST_RELEASED, request=request, before=before.value)
             self._review_verdicts()
             self.on_news()
@@ -172,7 +172,7 @@
         now = clock.now()
         self._worker_statistics.of(worker.worker_id).note_ended(now)
         request, worker_id = call.fingerprint, worker.worker_id
-        if not self.quarantine.note_end(request, worker_id, now, progressed=progressed):
+        if not self.quarantine.record_crash(request, worker_id, now, progressed=progressed):
             return
         self._metrics.worker_ends.labels(worker.service).inc()
         self._log.write(
@@ -223,14 +223,14 @@
         if self._review_timer is not None:
             self._review_timer.cancel()
             self._review_timer = None
-        seconds = self.quarantine.next_settling(now) - now
+        seconds = self.quarantine.next_decidable_at(now) - now
         if seconds < float("inf"):
             loop = asyncio.get_running_loop()
             self._review_timer = loop.call_later(seconds, self._review_verdicts)
 
     def _record_quarantine(self, request: str, verdict: Verdict, now: float) -> None:
         self._metrics.quarantines.inc()
-        ends = self.quarantine.records.suspected_ends(request)
+        ends = self.quarantine.records.suspected_crashes(request)
         self._log.write(
             LogEvent.REQUEST_QUARANTINED,
             request=request,
--- a/src/corkcrank/scheduling/crash_records.py
+++ b/src/corkcrank/scheduling/crash_records.py
@@ -13,23 +13,23 @@
 from dataclasses import dataclass, field
 
 from corkcrank.scheduling.crash_reports import (
-    MOST_REQUESTS_AT_END,
+    MAX_REQUESTS_PER_CRASH,
     CrashReport,
-    RequestAtEnd,
+    RequestAtCrash,
 )
 
 SETTLE_SECONDS = 1.25
 """A record is used for verdicts once no request was added for this time. By then updates have
 reached all gateways, and a gateway that failed meanwhile has been detected."""
 
-LONGEST_SETTLE_SECONDS = 2.0
+MAX_SETTLE_SECONDS = 2.0
 """A record is used for verdicts after this time even if requests are still being added. It lies
 within the 3 s in which all gateways have to act on a crash."""
 
-LOSS_MARGIN_SECONDS = 0.5
+UNREPORTED_CRASH_SECONDS = 0.5
 """A failed gateway may not have reported crashes up to this long before its last heartbeat."""
 
-MOST_RECORDS = 512
+MAX_RECORDS = 512
 """Maximum number of stored records. Those whose requests crashed the fewest workers are removed
 first."""
 
@@ -53,44 +53,44 @@
 
     worker_id: str
     at: float
-    known_at: float
-    grown_at: float
+    first_known_at: float
+    last_added_at: float
     changed_at: float
-    told_at: float = NEVER
+    reported_at: float = NEVER
     incomplete: bool = False
     requests: dict[str, _Entry] = field(default_factory=dict)
 
     @property
-    def settles_at(self) -> float:
+    def decidable_at(self) -> float:
         """Return the time from which the record is used for verdicts."""
-        latest = self.known_at + LONGEST_SETTLE_SECONDS
-        return min(latest, self.grown_at + SETTLE_SECONDS)
+        latest = self.first_known_at + MAX_SETTLE_SECONDS
+        return min(latest, self.last_added_at + SETTLE_SECONDS)
 
-    def add(self, item: RequestAtEnd, now: float) -> bool:
+    def add_request(self, item: RequestAtCrash, now: float) -> bool:
         """Add a request that was in progress; return whether the record changed."""
         known = self.requests.get(item.request)
         if known is None:
-            if len(self.requests) >= MOST_REQUESTS_AT_END:
+            if len(self.requests) >= MAX_REQUESTS_PER_CRASH:
                 return self.mark_incomplete(now)
             self.requests[item.request] = _Entry(item.progressed, item.cleared)
-            self.grown_at = now
-            self._note_change(now)
+            self.last_added_at = now
+            self._record_change(now)
             return True
         before = known.progressed, known.cleared
         known.progressed = known.progressed and item.progressed
         known.cleared = known.cleared or item.cleared
         if (known.progressed, known.cleared) == before:
             return False
-        self._note_change(now)
+        self._record_change(now)
         return True
 
-    def clear(self, request: str, now: float) -> bool:
+    def clear_request(self, request: str, now: float) -> bool:
         """Clear a request that completed successfully; return whether it was a suspect."""
         entry = self.requests.get(request)
         if entry is None or entry.cleared:
             return False
         entry.cleared = True
-        self._note_change(now)
+        self._record_change(now)
         return True
 
     def mark_incomplete(self, now: float) -> bool:
@@ -98,25 +98,25 @@
         if self.incomplete:
             return False
         self.incomplete = True
-        self._note_change(now)
+        self._record_change(now)
         return True
 
     def suspects(self) -> list[str]:
         """Return the requests that were in progress and have not completed successfully since."""
         return [request for request, entry in self.requests.items() if not entry.cleared]
 
-    def report(self, now: float) -> CrashReport:
+    def to_report(self, now: float) -> CrashReport:
         """Return the report for peers; the age is rounded down, so the crash gets no earlier."""
         age = max(0.0, math.floor((now - self.at) * 1000.0) / 1000.0)
         items = [
-            RequestAtEnd(request, entry.progressed, entry.cleared)
+            RequestAtCrash(request, entry.progressed, entry.cleared)
             for request, entry in self.requests.items()
         ]
-        return CrashReport.of(self.worker_id, age, items, incomplete=self.incomplete)
+        return CrashReport.from_requests(self.worker_id, age, items, incomplete=self.incomplete)
 
-    def _note_change(self, now: float) -> None:
+    def _record_change(self, now: float) -> None:
         self.changed_at = now
-        self.told_at = NEVER
+        self.reported_at = NEVER
 
 
 class CrashRecords:
@@ -137,56 +137,58 @@
         """Return every request that a stored record names."""
         return self._workers.keys()
 
-    def of_request(self, request: str) -> list[CrashRecord]:
+    def for_request(self, request: str) -> list[CrashRecord]:
         """Return the records of the workers that crashed with a request in progress."""
         return [self._records[worker_id] for worker_id in self._workers.get(request, ())]
 
-    def suspected_ends(self, request: str) -> list[CrashRecord]:
+    def suspected_crashes(self, request: str) -> list[CrashRecord]:
         """Return the records of a request's crashes that no successful run has cleared."""
         return [
-            record for record in self.of_request(request) if not record.requests[request].cleared
+            record for record in self.for_request(request) if not record.requests[request].cleared
         ]
 
-    def newest_end(self, request: str) -> float:
+    def latest_crash_at(self, request: str) -> float:
         """Return when a worker last crashed with a request in progress."""
-        return max((record.at for record in self.of_request(request)), default=NEVER)
+        return max((record.at for record in self.for_request(request)), default=NEVER)
 
-    def add(self, worker_id: str, at: float, item: RequestAtEnd, now: float) -> bool:
+    def add_request(self, worker_id: str, at: float, item: RequestAtCrash, now: float) -> bool:
         """Record a request that a crashed worker had; return whether the records changed."""
         record = self._records.get(worker_id)
         if record is None:
-            record = CrashRecord(worker_id, at, known_at=now, grown_at=now, changed_at=now)
+            record = CrashRecord(
+                worker_id, at, first_known_at=now, last_added_at=now, changed_at=now
+            )
             self._records[worker_id] = record
         record.at = min(record.at, at)
-        news = record.add(item, now)
+        changed = record.add_request(item, now)
         if item.request in record.requests:
             self._workers.setdefault(item.request, set()).add(worker_id)
-        self._bound()
-        return news
+        self._enforce_limit()
+        return changed
 
-    def take(self, report: CrashReport, now: float) -> bool:
+    def apply_report(self, report: CrashReport, now: float) -> bool:
         """Merge a valid report; return whether the records changed."""
         at = now - report.age
-        news = [self.add(report.worker_id, at, item, now) for item in report.requests()]
+        changed = [self.add_request(report.worker_id, at, item, now) for item in report.requests()]
         record = self._records.get(report.worker_id)
         if record is not None and report.incomplete:
-            news.append(record.mark_incomplete(now))
-        return any(news)
+            changed.append(record.mark_incomplete(now))
+        return any(changed)
 
-    def clear(self, request: str, now: float) -> bool:
+    def clear_request(self, request: str, now: float) -> bool:
         """Clear a request that completed; return whether any crash counted against it."""
-        return any([record.clear(request, now) for record in self.of_request(request)])
+        return any([record.clear_request(request, now) for record in self.for_request(request)])
 
-    def note_loss(self, last_heard_at: float, now: float) -> bool:
+    def record_gateway_failure(self, last_heard_at: float, now: float) -> bool:
         """Record the failure of a gateway; return whether the records changed.
 
         The gateway could not report its requests at workers that crashed after its last heartbeat,
         or shortly before it. So the records of these crashes are marked incomplete.
         """
-        since = last_heard_at - LOSS_MARGIN_SECONDS
+        since = last_heard_at - UNREPORTED_CRASH_SECONDS
         return any([record.mark_incomplete(now) for record in self if record.at >= since])
 
-    def forget(self, worker_id: str) -> None:
+    def discard(self, worker_id: str) -> None:
         """Remove the record of one worker."""
         for request in self._records.pop(worker_id).requests:
             workers = self._workers[request]
@@ -194,11 +196,11 @@
             if not workers:
                 del self._workers[request]
 
-    def _bound(self) -> None:
-        while len(self._records) > MOST_RECORDS:
-            self.forget(min(self._records, key=self._worth))
+    def _enforce_limit(self) -> None:
+        while len(self._records) > MAX_RECORDS:
+            self.discard(min(self._records, key=self._retention_priority))
 
-    def _worth(self, worker_id: str) -> tuple[int, float]:
+    def _retention_priority(self, worker_id: str) -> tuple[int, float]:
         record = self._records[worker_id]
-        ends = [len(self.suspected_ends(request)) for request in record.suspects()]
+        ends = [len(self.suspected_crashes(request)) for request in record.suspects()]
         return max(ends, default=0), record.at
--- a/src/corkcrank/scheduling/crash_reports.py
+++ b/src/corkcrank/scheduling/crash_reports.py
@@ -12,21 +12,21 @@
 
 from corkcrank.contracts.request_fingerprint import FINGERPRINT_BYTES
 
-BEGINNING_SECONDS = 0.25
+EARLY_RUN_SECONDS = 0.25
 """A run that lasted longer than this after its first event is unlikely to have crashed its worker:
 requests that crash workers do so early in their run."""
 
-MOST_REQUESTS_AT_END = 64
+MAX_REQUESTS_PER_CRASH = 64
 """Maximum number of requests in one record; a worker that had more gets an incomplete record."""
 
-LONGEST_AGE_SECONDS = 7200.0
+MAX_REPORT_AGE_SECONDS = 7200.0
 """Reports of older crashes are rejected. Twice the longest quarantine."""
 
 _PROGRESSED = 0x01
 _CLEARED = 0x02
 
 
-class RequestAtEnd(NamedTuple):
+class RequestAtCrash(NamedTuple):
     """A request that was in progress when its worker crashed.
 
     ``progressed`` is true if the run had lasted longer than those that crash their worker usually
@@ -53,8 +53,8 @@
     incomplete: bool = False
 
     @classmethod
-    def of(
-        cls, worker_id: str, age: float, requests: Iterable[RequestAtEnd], *, incomplete: bool
+    def from_requests(
+        cls, worker_id: str, age: float, requests: Iterable[RequestAtCrash], *, incomplete: bool
     ) -> "CrashReport":
         """Build a report in its wire form.
 
@@ -71,11 +71,11 @@
             incomplete,
         )
 
-    def requests(self) -> list[RequestAtEnd]:
+    def requests(self) -> list[RequestAtCrash]:
         """Return the requests of a valid report."""
         size = FINGERPRINT_BYTES
         return [
-            RequestAtEnd(
+            RequestAtCrash(
                 self.fingerprints[number * size : (number + 1) * size].hex(),
                 bool(mark & _PROGRESSED),
                 bool(mark & _CLEARED),
@@ -91,11 +91,11 @@
         """
         if not self.worker_id:
             return "no worker"
-        if not 0.0 <= self.age <= LONGEST_AGE_SECONDS:
+        if not 0.0 <= self.age <= MAX_REPORT_AGE_SECONDS:
             return "impossible age"
         if len(self.fingerprints) != FINGERPRINT_BYTES * len(self.marks):
             return "fingerprints and marks differ in number"
-        if len(self.marks) > MOST_REQUESTS_AT_END:
+        if len(self.marks) > MAX_REQUESTS_PER_CRASH:
             return "too many requests"
         if any(mark & ~(_PROGRESSED | _CLEARED) for mark in self.marks):
             return "unknown mark"
--- a/src/corkcrank/scheduling/crash_verdicts.py
+++ b/src/corkcrank/scheduling/crash_verdicts.py
@@ -12,10 +12,10 @@
 
 from corkcrank.scheduling.crash_records import CrashRecord
 
-QUARANTINE_ENDS = 3
+MIN_QUARANTINE_CRASHES = 3
 """Minimum number of crashes without another explanation for which a request is quarantined."""
 
-CERTAIN_ENDS = 5
+MIN_CERTAINTY_CRASHES = 5
 """Minimum number of crashes for which a request is quarantined even if other requests may explain
 them: two more than the minimum above, of the three further crashes that a request may cause."""
 
@@ -39,13 +39,13 @@
     """
 
     ends: dict[str, set[str]] = field(default_factory=dict)
-    beginnings: dict[str, set[str]] = field(default_factory=dict)
-    began_at: dict[str, list[str]] = field(default_factory=dict)
+    early_crashes: dict[str, set[str]] = field(default_factory=dict)
+    early_requests: dict[str, list[str]] = field(default_factory=dict)
     progressed: set[str] = field(default_factory=set)
 
-    def add(self, record: CrashRecord) -> None:
+    def add_record(self, record: CrashRecord) -> None:
         """Add the crash record of one worker."""
-        began = self.began_at[record.worker_id] = []
+        early = self.early_requests[record.worker_id] = []
         for request, entry in record.requests.items():
             if entry.cleared:
                 continue
@@ -53,67 +53,71 @@
             if entry.progressed:
                 self.progressed.add(request)
             elif not record.incomplete:
-                self.beginnings.setdefault(request, set()).add(record.worker_id)
-                began.append(request)
+                self.early_crashes.setdefault(request, set()).add(record.worker_id)
+                early.append(request)
 
     def neighbours(self, request: str) -> set[str]:
         """Return the requests with an early run at workers that crashed with a request."""
-        return {other for worker_id in self.ends[request] for other in self.began_at[worker_id]}
+        return {
+            other for worker_id in self.ends[request] for other in self.early_requests[worker_id]
+        }
 
 
-def judge(records: Iterable[CrashRecord]) -> Mapping[str, Verdict]:
+def judge_requests(records: Iterable[CrashRecord]) -> Mapping[str, Verdict]:
     """Return the requests to blame, with the reason for each verdict."""
     evidence = _Evidence()
     for record in records:
-        evidence.add(record)
-    certain = _certain(evidence, _blame(evidence, {}))
-    return _blame(evidence, certain)
+        evidence.add_record(record)
+    certain = _certain_verdicts(evidence, _extend_blame(evidence, {}))
+    return _extend_blame(evidence, certain)
 
 
-def _certain(evidence: _Evidence, blamed: Mapping[str, Verdict]) -> dict[str, Verdict]:
+def _certain_verdicts(evidence: _Evidence, blamed: Mapping[str, Verdict]) -> dict[str, Verdict]:
     """Return the requests that are blamed for the number of their crashes, regardless of rivals.
 
     Requests without a progressed run are evaluated first, since each of them may crash workers. A
     progressed run exonerates its request as long as other requests explain the crashes.
     """
-    many = [request for request, ends in evidence.ends.items() if len(ends) >= CERTAIN_ENDS]
+    candidates = [
+        request for request, ends in evidence.ends.items() if len(ends) >= MIN_CERTAINTY_CRASHES
+    ]
     found: dict[str, Verdict] = {}
     for progressed in (False, True):
-        explained = _explained(evidence, {*blamed, *found})
-        for request in many:
+        explained = _explained_workers(evidence, {*blamed, *found})
+        for request in candidates:
             ends = evidence.ends[request]
-            alike = (request in evidence.progressed) is progressed
-            if alike and (request in blamed or ends - explained):
+            in_pass = (request in evidence.progressed) is progressed
+            if in_pass and (request in blamed or ends - explained):
                 found[request] = Verdict(frozenset(ends))
     return found
 
 
-def _explained(evidence: _Evidence, blamed: Iterable[str]) -> set[str]:
+def _explained_workers(evidence: _Evidence, blamed: Iterable[str]) -> set[str]:
     return {worker_id for request in blamed for worker_id in evidence.ends[request]}
 
 
-def _blame(evidence: _Evidence, known: Mapping[str, Verdict]) -> dict[str, Verdict]:
+def _extend_blame(evidence: _Evidence, known: Mapping[str, Verdict]) -> dict[str, Verdict]:
     """Extend known verdicts by further requests to blame, in order of decreasing certainty.
 
     Crashes that a blamed request explains no longer count against its neighbours, so the cases of
     the neighbours are evaluated again.
     """
     blamed = dict(known)
-    explained = _explained(evidence, blamed)
+    explained = _explained_workers(evidence, blamed)
     candidates = {
         request
-        for request, ends in evidence.beginnings.items()
-        if len(ends) >= QUARANTINE_ENDS and request not in blamed
+        for request, ends in evidence.early_crashes.items()
+        if len(ends) >= MIN_QUARANTINE_CRASHES and request not in blamed
     }
     cases: dict[str, _Case] = {}
     outdated = set(candidates)
     while candidates:
         for request in outdated & candidates:
             cases[request] = _Case(evidence, request, explained, blamed)
-        convicted = [request for request in candidates if cases[request].convicts]
-        if not convicted:
+        sufficient = [request for request in candidates if cases[request].is_sufficient]
+        if not sufficient:
             break
-        request = min(convicted, key=lambda key: cases[key].order)
+        request = min(sufficient, key=lambda key: cases[key].sort_key)
         blamed[request] = cases[request].verdict
         candidates.discard(request)
         explained |= evidence.ends[request]
@@ -134,15 +138,15 @@
         explained: set[str],
         blamed: Mapping[str, Verdict],
     ) -> None:
-        unexplained = evidence.beginnings[request] - explained
+        unexplained = evidence.early_crashes[request] - explained
         shared = Counter(
             other
             for worker_id in unexplained
-            for other in evidence.began_at[worker_id]
+            for other in evidence.early_requests[worker_id]
             if other != request and other not in blamed
         )
         rival = min(shared, key=lambda key: (-shared[key], key), default="")
         self.lead = len(unexplained) - shared[rival]
-        self.convicts = len(unexplained) >= QUARANTINE_ENDS and self.lead > 0
-        self.order = -self.lead, -len(unexplained), request
+        self.is_sufficient = len(unexplained) >= MIN_QUARANTINE_CRASHES and self.lead > 0
+        self.sort_key = -self.lead, -len(unexplained), request
         self.verdict = Verdict(frozenset(unexplained), rival, shared[rival])
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -16,7 +16,7 @@
     encode_heartbeat,
 )
 from corkcrank.machines.worker_changes import MOST_TOLD, WorkerChange, WorkerChangeBatch
-from corkcrank.scheduling.crash_reports import CrashReport, RequestAtEnd, Trial, TrialReport
+from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash, Trial, TrialReport
 from corkcrank.scheduling.stated_limits import MOST_REPORTED, ReportedLimit
 
 
@@ -135,7 +135,7 @@
     heard = decode_heartbeat(zlib.compress(msgspec.msgpack.encode(older)))
     assert heard is not None
     assert heard.trials[0].trial == Trial(2, 0.25)
-    report = CrashReport.of("w 1", 0.5, [RequestAtEnd("c" * 16)], incomplete=False)
+    report = CrashReport.from_requests("w 1", 0.5, [RequestAtCrash("c" * 16)], incomplete=False)
     trial = TrialReport("c" * 16, trial=Trial(2, 0.25))
     told = msgspec.structs.replace(heartbeat(2, 2, 2, 0), trials=(trial,), crashes=(report,))
     data = zlib.decompress(encode_heartbeat(told))
--- a/tests/platform/test_crash_evidence.py
+++ b/tests/platform/test_crash_evidence.py
@@ -19,7 +19,7 @@
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.peers.peer_protocol import CRASHES_PATH, CrashesAnswer
 from corkcrank.node.process.node import Node
-from corkcrank.scheduling.crash_reports import CrashReport, RequestAtEnd
+from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash
 from corkcrank.scheduling.request_quarantine import RequestState
 
 CRASHING = "c" * 16
@@ -30,7 +30,7 @@
 def record_crashes(node: Node, request: str, workers: list[str]) -> None:
     """Have a gateway record worker crashes under a request of its own, and report them to peers."""
     for worker_id in workers:
-        node.crash_watch.quarantine.note_end(request, worker_id, clock.now())
+        node.crash_watch.quarantine.record_crash(request, worker_id, clock.now())
     node.crash_watch._review_verdicts()
     node.crash_watch.on_news()
 
@@ -38,7 +38,7 @@
 def all_decidable(node: Node) -> bool:
     now = clock.now()
     records = node.crash_watch.quarantine.records
-    return bool(len(records)) and all(record.settles_at <= now for record in records)
+    return bool(len(records)) and all(record.decidable_at <= now for record in records)
 
 
 def ordinary_quarantined(node: Node) -> bool:
@@ -151,4 +151,4 @@
         async with running.session.post(url) as answer:
             reply = msgspec.msgpack.decode(await answer.read(), type=CrashesAnswer)
         assert sorted(report.worker_id for report in reply.reports) == sorted(CRASHED_WORKERS)
-        assert all(report.requests() == [RequestAtEnd(CRASHING)] for report in reply.reports)
+        assert all(report.requests() == [RequestAtCrash(CRASHING)] for report in reply.reports)
--- a/tests/platform/test_quarantined_requests.py
+++ b/tests/platform/test_quarantined_requests.py
@@ -52,7 +52,7 @@
 
 def quarantined_at(node: Node) -> list[str]:
     """Return the requests that a gateway has quarantined now."""
-    return node.crash_watch.quarantine.quarantined(clock.now())
+    return node.crash_watch.quarantine.blamed_requests(clock.now())
 
 
 async def quarantine_request(
@@ -148,8 +148,8 @@
         rows = running.store.rows
         await until(lambda: any(table == "quarantine" for table, _ in rows))
         quarantine = running.nodes[0].crash_watch.quarantine
-        (request,) = quarantine.quarantined(clock.now())
-        quarantine.note_sound(request, clock.now())
+        (request,) = quarantine.blamed_requests(clock.now())
+        quarantine.record_success(request, clock.now())
         await until(lambda: not any(table == "quarantine" for table, _ in rows))
         assert running.nodes[0].crash_watch.quarantine.seconds_left(request, clock.now()) == 0.0
 
@@ -221,7 +221,7 @@
         watch = running.nodes[0].crash_watch
         request = request_fingerprint("tenant", "/staged/x", CRASHING)
         for number in range(3):
-            watch.quarantine.note_end(request, f"worker {number}", clock.now())
+            watch.quarantine.record_crash(request, f"worker {number}", clock.now())
         assert encoder.gate is not None
         encoder.gate.set()
         assert await waiting == 503
@@ -247,8 +247,8 @@
     async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
         quarantine = running.nodes[0].crash_watch.quarantine
         request = request_fingerprint("tenant", "/safe/x", CRASHING)
-        quarantine.note_end(request, "before", clock.now())
-        quarantine.note_sound(request, clock.now())
+        quarantine.record_crash(request, "before", clock.now())
+        quarantine.record_success(request, clock.now())
         await quarantine_request(running, workers)
         rows, calls = running.nodes[0]._quarantine_rows, running.store.calls
         # The store holds the row before the gateway has received the confirmation.
--- a/tests/platform/test_released_requests.py
+++ b/tests/platform/test_released_requests.py
@@ -54,7 +54,7 @@
             200,
             f'{{"request":"{REQUEST}","before":"quarantined","state":"sound"}}',
         )
-        await until(lambda: not peer.crash_watch.quarantine.quarantined(clock.now()))
+        await until(lambda: not peer.crash_watch.quarantine.blamed_requests(clock.now()))
         await send(running, "/safe/x", CRASHING, number=1)
         await wait_for_restarts(running, workers)
         assert crash_count(workers) > crashes
--- a/tests/scheduling/crash_play.py
+++ b/tests/scheduling/crash_play.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from corkcrank.scheduling.crash_reports import BEGINNING_SECONDS, CrashReport
+from corkcrank.scheduling.crash_reports import EARLY_RUN_SECONDS, CrashReport
 from corkcrank.scheduling.request_quarantine import RequestQuarantine
 
 HEARTBEAT = 0.25
@@ -125,7 +125,7 @@
         self._record_verdicts()
         crashing = set(self.outcome.ends)
         for gateway in self.gateways:
-            self.outcome.quarantined_at_end |= set(gateway.quarantined(self.now)) - crashing
+            self.outcome.quarantined_at_end |= set(gateway.blamed_requests(self.now)) - crashing
         return self.outcome
 
     def _schedule(self, when: float, event: Callable[[], None]) -> None:
@@ -185,7 +185,7 @@
         if engine.incarnation != incarnation or number not in engine.running:
             return
         call = engine.running.pop(number).call
-        self.gateways[call.gateway].note_sound(call.request, self.now)
+        self.gateways[call.gateway].record_success(call.request, self.now)
         self.outcome.served += 1
         self._start_call()
 
@@ -201,7 +201,7 @@
             gateway = by.gateway
             self._schedule_within((0.0, 0.05), lambda: self._restart_gateway(gateway))
         for run in broken:
-            progressed = self.now - run.first_event > BEGINNING_SECONDS
+            progressed = self.now - run.first_event > EARLY_RUN_SECONDS
             self._schedule_within(
                 DETECTION_SECONDS,
                 self._crash_recorder(run.call, incarnation, progressed=progressed),
@@ -216,7 +216,7 @@
         def record() -> None:
             if gateway is not self.gateways[call.gateway]:
                 return
-            if gateway.note_end(call.request, incarnation, self.now, progressed=progressed):
+            if gateway.record_crash(call.request, incarnation, self.now, progressed=progressed):
                 self._schedule_within((0.0, 0.001), lambda: self._send_reports(call.gateway))
 
         return record
@@ -241,14 +241,14 @@
     def _send_reports(self, gateway: int) -> None:
         source = self.gateways[gateway]
         self._record_verdicts()
-        reports = source.reported(self.now, HEARTBEAT)
+        reports = source.crash_reports(self.now, HEARTBEAT)
         for target in range(self._load.gateways) if reports else ():
             if target != gateway and self._random.random() >= REPORT_LOSS:
                 self._schedule_within(REPORT_DELAY_SECONDS, self._report_receiver(target, reports))
 
     def _report_receiver(self, target: int, reports: tuple[CrashReport, ...]) -> Callable[[], None]:
         def receive() -> None:
-            if any([self.gateways[target].take(item, self.now) for item in reports]):
+            if any([self.gateways[target].apply_report(item, self.now) for item in reports]):
                 self._schedule_within((0.0, 0.05), lambda: self._send_reports(target))
 
         return receive
@@ -267,16 +267,16 @@
         def detect_failure() -> None:
             for other in self.gateways:
                 if other is not self.gateways[gateway]:
-                    other.note_loss(last_heard_at, self.now)
+                    other.record_gateway_failure(last_heard_at, self.now)
             source = self.gateways[(gateway + 1) % len(self.gateways)]
-            for report in source.all_reports(self.now):
-                self.gateways[gateway].take(report, self.now)
+            for report in source.all_crash_reports(self.now):
+                self.gateways[gateway].apply_report(report, self.now)
 
         self._schedule(self.now + SUSPECT_SECONDS, detect_failure)
 
     def _record_verdicts(self) -> None:
         for quarantine in self.gateways:
-            for request in quarantine.quarantined(self.now):
+            for request in quarantine.blamed_requests(self.now):
                 self._record_quarantined(request)
 
     def _record_quarantined(self, request: str) -> None:
--- a/tests/scheduling/quarantine_play.py
+++ b/tests/scheduling/quarantine_play.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from corkcrank.scheduling.crash_records import LONGEST_SETTLE_SECONDS
-from corkcrank.scheduling.crash_reports import BEGINNING_SECONDS
+from corkcrank.scheduling.crash_records import MAX_SETTLE_SECONDS
+from corkcrank.scheduling.crash_reports import EARLY_RUN_SECONDS
 from corkcrank.scheduling.request_quarantine import RequestQuarantine, RequestState
 
 ATTEMPTS = 3
@@ -122,7 +122,7 @@
     def _finish(self, worker: _Worker, incarnation: str, number: int) -> None:
         if worker.incarnation == incarnation:
             call, _ = worker.running.pop(number)
-            self._quarantine.note_sound(call.request, self.now)
+            self._quarantine.record_success(call.request, self.now)
 
     def _crash_one(self) -> None:
         self._crash(self._random.choice(self._workers))
@@ -141,9 +141,11 @@
         worker.unavailable_until = self.now + RECOVERY_SECONDS
         for call, first_event in broken.values():
             self.outcome.broken += 1
-            progressed = self.now - first_event > BEGINNING_SECONDS
-            self._quarantine.note_end(call.request, incarnation, self.now, progressed=progressed)
-            self._schedule(self.now + LONGEST_SETTLE_SECONDS, self._blame_check(call))
+            progressed = self.now - first_event > EARLY_RUN_SECONDS
+            self._quarantine.record_crash(
+                call.request, incarnation, self.now, progressed=progressed
+            )
+            self._schedule(self.now + MAX_SETTLE_SECONDS, self._blame_check(call))
         for call, _ in broken.values():
             self._retry(call)
 
--- a/tests/scheduling/test_clock_jumps.py
+++ b/tests/scheduling/test_clock_jumps.py
@@ -23,8 +23,8 @@
     StoreFollowerElection,
 )
 from corkcrank.scheduling.crash_records import SETTLE_SECONDS
-from corkcrank.scheduling.crash_reports import CrashReport, RequestAtEnd
-from corkcrank.scheduling.crash_verdicts import QUARANTINE_ENDS
+from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash
+from corkcrank.scheduling.crash_verdicts import MIN_QUARANTINE_CRASHES
 from corkcrank.scheduling.request_quarantine import RequestQuarantine, quarantine_seconds
 
 INTERVAL = 0.25
@@ -102,14 +102,14 @@
     @rule(worker=st.integers(0, 5))
     def worker_crashes_here(self, worker: int) -> None:
         self._record_crash(f"w{worker}", self.now)
-        self.quarantine.note_end(REQUEST, f"w{worker}", self.now)
+        self.quarantine.record_crash(REQUEST, f"w{worker}", self.now)
 
     @rule(worker=st.integers(0, 5), age=st.floats(0.0, 60.0))
     def worker_crashes_elsewhere(self, worker: int, age: float) -> None:
         self._record_crash(f"w{worker}", self.now - age)
-        item = RequestAtEnd(REQUEST)
-        report = CrashReport.of(f"w{worker}", age, [item], incomplete=False)
-        self.quarantine.take(report, self.now)
+        item = RequestAtCrash(REQUEST)
+        report = CrashReport.from_requests(f"w{worker}", age, [item], incomplete=False)
+        self.quarantine.apply_report(report, self.now)
 
     def _record_crash(self, worker: str, at: float) -> None:
         self.ends[worker] = min(at, self.ends.get(worker, at))
@@ -137,7 +137,7 @@
     def a_quarantine_ends_on_time(self) -> None:
         left = 0.0
         settled = [at for at in self.known_at.values() if at + SETTLE_SECONDS <= self.now]
-        if len(settled) >= QUARANTINE_ENDS:
+        if len(settled) >= MIN_QUARANTINE_CRASHES:
             lasts = quarantine_seconds(len(self.ends))
             left = max(0.0, max(self.ends.values()) + lasts - self.now)
         known = self.quarantine.seconds_left(REQUEST, self.now)
--- a/tests/scheduling/test_quarantine_machine.py
+++ b/tests/scheduling/test_quarantine_machine.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from corkcrank.scheduling.crash_records import LONGEST_SETTLE_SECONDS
+from corkcrank.scheduling.crash_records import MAX_SETTLE_SECONDS
 from corkcrank.scheduling.crash_reports import CrashReport
-from corkcrank.scheduling.crash_verdicts import QUARANTINE_ENDS
+from corkcrank.scheduling.crash_verdicts import MIN_QUARANTINE_CRASHES
 from corkcrank.scheduling.request_quarantine import (
-    LONGEST_QUARANTINE_SECONDS,
-    SUSPECT_SECONDS,
+    MAX_QUARANTINE_SECONDS,
+    SUSPECT_REPORT_SECONDS,
     RequestQuarantine,
 )
 
@@ -35,17 +35,17 @@
     def worker_crashes(self, gateway: int, worker: int) -> None:
         name = f"w{worker}"
         self.crashed_workers.add(name)
-        self.gateways[gateway].note_end(REQUEST, name, self.now)
+        self.gateways[gateway].record_crash(REQUEST, name, self.now)
 
     @rule(gateway=st.integers(0, 2))
     def send_heartbeat(self, gateway: int) -> None:
-        self.reports_in_transit.extend(self.gateways[gateway].reported(self.now, HEARTBEAT))
+        self.reports_in_transit.extend(self.gateways[gateway].crash_reports(self.now, HEARTBEAT))
 
     @rule(gateway=st.integers(0, 2), data=st.data())
     def report_arrives(self, gateway: int, data: st.DataObject) -> None:
         if self.reports_in_transit:
             crash_report = data.draw(st.sampled_from(self.reports_in_transit))
-            self.gateways[gateway].take(crash_report, self.now)
+            self.gateways[gateway].apply_report(crash_report, self.now)
 
     @rule(gateway=st.integers(0, 2))
     def restart(self, gateway: int) -> None:
@@ -59,31 +59,31 @@
     def exchange_all_reports(self) -> None:
         """All gateways agree once each has received the reports of all others again."""
         for _ in range(2):
-            self.now += SUSPECT_SECONDS
+            self.now += SUSPECT_REPORT_SECONDS
             for source in self.gateways:
-                reports = source.reported(self.now, HEARTBEAT)
+                reports = source.crash_reports(self.now, HEARTBEAT)
                 for target in self.gateways:
                     for crash_report in reports:
-                        target.take(crash_report, self.now)
-        settled = self.now + LONGEST_SETTLE_SECONDS
+                        target.apply_report(crash_report, self.now)
+        settled = self.now + MAX_SETTLE_SECONDS
         states = {gateway.state(REQUEST, settled) for gateway in self.gateways}
         assert len(states) == 1
 
     @invariant()
     def too_few_crashes_do_not_quarantine(self) -> None:
-        if len(self.crashed_workers) < QUARANTINE_ENDS:
+        if len(self.crashed_workers) < MIN_QUARANTINE_CRASHES:
             assert all(gateway.seconds_left(REQUEST, self.now) == 0.0 for gateway in self.gateways)
 
     @invariant()
     def only_workers_that_crashed_are_counted(self) -> None:
         for gateway in self.gateways:
-            known = {record.worker_id for record in gateway.records.of_request(REQUEST)}
+            known = {record.worker_id for record in gateway.records.for_request(REQUEST)}
             assert known <= self.crashed_workers
 
     @invariant()
     def no_quarantine_exceeds_the_maximum(self) -> None:
         for gateway in self.gateways:
-            assert gateway.seconds_left(REQUEST, self.now) <= LONGEST_QUARANTINE_SECONDS
+            assert gateway.seconds_left(REQUEST, self.now) <= MAX_QUARANTINE_SECONDS
 
 
 TestQuarantineMachine = QuarantineMachine.TestCase
