--- a/src/corkcrank/node/calls/attempts.py
+++ b/src/corkcrank/node/calls/attempts.py
@@ -91,8 +91,8 @@
         call=call.call_id,
         worker=worker.worker_id,
         service=worker.service,
-        in_flight=services.worker_statistics.of(worker.worker_id).in_flight,
-        peers_in_flight=services.worker_statistics.of(worker.worker_id).peers_in_flight,
+        in_flight=services.worker_statistics.get_or_create(worker.worker_id).in_flight,
+        peers_in_flight=services.worker_statistics.get_or_create(worker.worker_id).peers_in_flight,
         remaining=round(remaining, 3),
         attempt=len(call.workers_tried),
     )
@@ -120,7 +120,7 @@
 ) -> Attempt:
     if isinstance(response, SendFailure):
         if response.trouble is SendTrouble.REFUSED:
-            services.worker_statistics.of(worker.worker_id).note_ended(clock.now())
+            services.worker_statistics.get_or_create(worker.worker_id).record_end(clock.now())
         sent = response.trouble not in (SendTrouble.NOT_SENT, SendTrouble.REFUSED)
         outcome = AttemptOutcome.LOST if sent else AttemptOutcome.NOT_SENT
         silent = response.trouble is SendTrouble.SILENT
@@ -155,7 +155,7 @@
     services: CallServices, worker: WorkerRecord, response: aiohttp.ClientResponse
 ) -> None:
     if response.status == MISDIRECTED_STATUS:
-        services.worker_statistics.of(worker.worker_id).leaving = True
+        services.worker_statistics.get_or_create(worker.worker_id).leaving = True
 
 
 def _note(services: CallServices, call: OpaqueCall, attempt: Attempt) -> None:
@@ -163,7 +163,7 @@
     if attempt.outcome is AttemptOutcome.ANSWERED:
         return
     now = clock.now()
-    statistics = services.worker_statistics.of(attempt.worker.worker_id)
+    statistics = services.worker_statistics.get_or_create(attempt.worker.worker_id)
     if attempt.outcome is AttemptOutcome.NOT_RUN:
         statistics.avoid_until = max(statistics.avoid_until, now + FULL_AVOID_SECONDS)
     else:
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -71,7 +71,7 @@
             if worker is None or self._services.crash_watch.quarantine_left(call):
                 break
             if number == 0:
-                self._services.budget(service).record_first(now)
+                self._services.budget(service).record_first_attempt(now)
             elif not self._services.may_repeat(service):
                 break
             answer = await self._try(worker)
@@ -125,7 +125,7 @@
         )
 
     async def _try(self, worker: WorkerRecord) -> web.Response | None:
-        statistics = self._services.worker_statistics.of(worker.worker_id)
+        statistics = self._services.worker_statistics.get_or_create(worker.worker_id)
         statistics.in_flight += 1
         try:
             return await self._exchange(worker)
@@ -151,7 +151,7 @@
         self._services.health.answered(worker, attempt.status)
         self._services.crash_watch.note_served(call)
         if attempt.status >= FAULT_STATUS:
-            statistics = self._services.worker_statistics.of(worker.worker_id)
+            statistics = self._services.worker_statistics.get_or_create(worker.worker_id)
             statistics.failures.append(clock.now())
             if self._repeatable_elsewhere():
                 self._last_answer = response
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -154,7 +154,7 @@
         worker may have had it at all: one that never had a call has not ended under it.
         """
         if clock.now() < call.end_at:
-            self.health.note(worker, CallOutcome.BROKEN)
+            self.health.note(worker, CallOutcome.CONNECTION_FAILED)
         if sent and not silent:
             self.crash_watch.note_broken(call, worker, progressed=progressed)
 
--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -177,7 +177,9 @@
         """Return what the owner of some limited engines is told of them."""
         if not engines:
             return ()
-        return self._statements.limits.reported(now, {engine.worker_id for engine in engines})
+        return self._statements.limits.reports_for_peers(
+            now, {engine.worker_id for engine in engines}
+        )
 
     def done(self, call: OpaqueCall, *, read: bool = False) -> None:
         """Tell the owner, once, that a call's prompt was read or will not be."""
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -111,7 +111,7 @@
     ) -> LimitGrant:
         now = clock.now()
         ids = tuple(worker.worker_id for worker in candidates)
-        limits = self._statements.limits.reported(now, ids)
+        limits = self._statements.limits.reports_for_peers(now, ids)
         request = LimitGrantRequest(call.call_id, call.service, zone, ids, limits, begins)
         owner = self._fleet.zone_owner(zone, call.service, now)
         grant = await self._ask_owner(owner, request)
--- a/src/corkcrank/node/limits/worker_limits.py
+++ b/src/corkcrank/node/limits/worker_limits.py
@@ -6,11 +6,11 @@
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.scheduling.rate_limits import (
-    LONGEST_WAIT_SECONDS,
+    MAX_WAIT_SECONDS,
     GrantLog,
     LocalSlots,
     RateLimit,
-    stated_limits,
+    limits_for_stated_rate,
 )
 from corkcrank.scheduling.stated_limits import StatedLimits
 
@@ -41,8 +41,8 @@
         if named is None:
             return () if warmup is None else (RateLimit(warmup),)
         if warmup is None:
-            return stated_limits(named)
-        return RateLimit(warmup), *stated_limits(named)
+            return limits_for_stated_rate(named)
+        return RateLimit(warmup), *limits_for_stated_rate(named)
 
     def rate(self, worker: WorkerRecord, now: float) -> float | None:
         """Return the lowest limit of a worker in requests a second, ``None`` without a limit."""
@@ -53,7 +53,7 @@
         rate = self.rate(worker, now)
         if rate is None:
             return 0.0
-        return min(1.0 / rate, LONGEST_WAIT_SECONDS) if rate > 0 else LONGEST_WAIT_SECONDS
+        return min(1.0 / rate, MAX_WAIT_SECONDS) if rate > 0 else MAX_WAIT_SECONDS
 
     def warmup_rate(self, worker: WorkerRecord, now: float) -> float | None:
         """Return the limit of a worker that is warming up, ``None`` if it is not."""
@@ -73,28 +73,28 @@
         """
         limits = self.limits(worker, now)
         log = self._begun if begins else self._sent
-        return log.wait(worker.worker_id, limits, now) if limits else 0.0
+        return log.seconds_until_fit(worker.worker_id, limits, now) if limits else 0.0
 
     def note_granted(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> None:
         """Record that this gateway, as owner, granted a request to a worker."""
         limits = self.limits(worker, now)
         if limits:
             log = self._begun if begins else self._sent
-            log.note(worker.worker_id, now, max(limit.window for limit in limits))
-            log.forget_before(now - GRANT_RETENTION_SECONDS)
+            log.record_grant(worker.worker_id, now, max(limit.window for limit in limits))
+            log.remove_idle_since(now - GRANT_RETENTION_SECONDS)
 
     def may_send(self, worker: WorkerRecord, now: float) -> bool:
         """Return whether the local send slots allow a request to a worker without a grant."""
         rate = self.rate(worker, now)
         if rate is None:
             return True
-        return self._slots.open(worker.worker_id, rate, self._fleet.known_members(), now)
+        return self._slots.is_open(worker.worker_id, rate, self._fleet.known_members(), now)
 
     def note_sent(self, worker: WorkerRecord, now: float) -> None:
         """Record that a request is sent to a worker without a grant of the owner."""
         rate = self.rate(worker, now)
         if rate is not None:
-            self._slots.note(worker.worker_id, rate, self._fleet.known_members(), now)
+            self._slots.record_use(worker.worker_id, rate, self._fleet.known_members(), now)
 
     def limited(self, workers: Collection[WorkerRecord], now: float) -> list[WorkerRecord]:
         """Return the workers among those given that have a limit."""
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -207,7 +207,7 @@
             outcomes=self._health.reported(now),
             trials=self._crash_watch.quarantine.trial_reports(now, self._fleet.interval()),
             zone_states=self._mirror.evacuations.told(),
-            limits=self._statements.limits.reported(now),
+            limits=self._statements.limits.reports_for_peers(now),
             crashes=self._crash_watch.quarantine.crash_reports(now, self._fleet.interval()),
         )
 
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -304,10 +304,10 @@
         self.services.metrics.configuration_version.set(self.mirror.version)
         listed = {record.worker_id for record in self.mirror.workers.records()}
         self._capacity_log.note()
-        self._worker_statistics.forget_all_but(listed)
+        self._worker_statistics.retain_only(listed)
         self._engines.forget_all_but(listed)
         self._health.forget_all_but(listed)
-        self._statements.limits.forget_all_but(listed)
+        self._statements.limits.retain_only(listed)
         self.mirror.warming.forget_all_but(listed)
         self.stage_owner.workers_changed()
 
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -151,7 +151,7 @@
 def _workers(services: CallServices, now: float) -> tuple[WorkerDump, ...]:
     dumps = []
     for record in services.mirror.workers.records():
-        statistics = services.worker_statistics.of(record.worker_id)
+        statistics = services.worker_statistics.get_or_create(record.worker_id)
         dumps.append(
             WorkerDump(
                 worker_id=record.worker_id,
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -101,9 +101,9 @@
         urgency = work.urgency.on_clock(now)
         choices = []
         for other in pool_of(self._mirror.workers, worker).workers:
-            statistics = self._worker_statistics.of(other.worker_id)
-            unsound = statistics.avoid_until > now or statistics.set_aside(repeatable=True)
-            if other is not worker and (statistics.out_of_use(now) or unsound):
+            statistics = self._worker_statistics.get_or_create(other.worker_id)
+            unsound = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
+            if other is not worker and (statistics.is_unavailable(now) or unsound):
                 continue
             entry = self.of(other, profile)
             expected = entry.queue.forecast(now, urgency, len(work.pieces), work.result_bytes)
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -241,9 +241,9 @@
 
     def _take_over(self, entry: OwnedQueue, now: float) -> None:
         """Take over pieces that wait for busy workers, if this one is idle and sound."""
-        statistics = self._worker_statistics.of(entry.worker.worker_id)
-        unsound = statistics.avoid_until > now or statistics.set_aside(repeatable=True)
-        if unsound or statistics.out_of_use(now) or not self._accepts_work(entry):
+        statistics = self._worker_statistics.get_or_create(entry.worker.worker_id)
+        unsound = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
+        if unsound or statistics.is_unavailable(now) or not self._accepts_work(entry):
             return
         others = [sibling.queue for sibling in self._queues.siblings(entry)]
         for piece in pieces_to_steal(entry.queue, others, now):
@@ -302,10 +302,10 @@
         return worker is not None and self._mirror.workers.accepts_work(worker)
 
     def _failed(self, entry: OwnedQueue, call: StageCall, failure: SendFailure, now: float) -> None:
-        statistics = self._worker_statistics.of(entry.worker.worker_id)
+        statistics = self._worker_statistics.get_or_create(entry.worker.worker_id)
         statistics.failures.append(now)
         statistics.avoid_until = now + AVOID_SECONDS
-        self.on_outcome(entry.worker, CallOutcome.BROKEN)
+        self.on_outcome(entry.worker, CallOutcome.CONNECTION_FAILED)
         entry.queue.block(now, FULL_BLOCK_SECONDS)
         self._log.write(
             LogEvent.WORKER_AVOIDED,
@@ -315,7 +315,7 @@
             seconds=AVOID_SECONDS,
         )
         if failure.trouble is SendTrouble.REFUSED:
-            statistics.note_ended(now)
+            statistics.record_end(now)
         outcome = outcome_of(failure)
         for stage_item in call.stage_items:
             self._resolve(stage_item, PieceResult(outcome, worker_id=entry.worker.worker_id))
--- a/src/corkcrank/node/streams/engine_assignment.py
+++ b/src/corkcrank/node/streams/engine_assignment.py
@@ -18,7 +18,7 @@
     def assign(self, engine: WorkerRecord) -> None:
         """Count the call at an engine, and no longer at the one before."""
         self.clear()
-        statistics = self._services.worker_statistics.of(engine.worker_id)
+        statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         prompt = self._call.envelope.prompt
         self._unread = self._services.engines.unread_tokens(engine.worker_id, prompt)
         statistics.in_flight += 1
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -100,7 +100,7 @@
         which must not end the caller's answer.
         """
         if attempt.status >= FAULT_STATUS:
-            statistics = self._services.worker_statistics.of(attempt.worker.worker_id)
+            statistics = self._services.worker_statistics.get_or_create(attempt.worker.worker_id)
             statistics.failures.append(clock.now())
         self._services.health.answered(attempt.worker, attempt.status)
         failure = await read_whole_answer(self._services, attempt, self._failure_patience())
@@ -147,7 +147,7 @@
 
     def _free_after_fetch(self, engine: WorkerRecord) -> asyncio.TimerHandle | None:
         """Free the results once the engine has fetched them, unless it queues calls."""
-        statistics = self._services.worker_statistics.of(engine.worker_id)
+        statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         busy = statistics.in_flight + statistics.peers_in_flight
         if self.stages is None or busy >= engine.slots:
             return None
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -79,9 +79,9 @@
                     silent=part.silent,
                     progressed=part.progressed(clock.now()),
                 )
-                self._services.worker_statistics.of(attempt.worker.worker_id).failures.append(
-                    clock.now()
-                )
+                self._services.worker_statistics.get_or_create(
+                    attempt.worker.worker_id
+                ).failures.append(clock.now())
         return end
 
     async def _relay(
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -168,7 +168,9 @@
         turn = await services.prefill_grants.take(self._call, chosen, long=long)
         if turn.engine is None:
             return await self._elsewhere(chosen.zone, turn.wait, long=long)
-        if services.worker_statistics.of(turn.engine.worker_id).out_of_use(clock.now()):
+        if services.worker_statistics.get_or_create(turn.engine.worker_id).is_unavailable(
+            clock.now()
+        ):
             # The owner has not heard yet that it ended.
             return PrefillTurn(services.prefill_grants.take_ungranted(chosen), turn.wait)
         return turn
@@ -198,15 +200,15 @@
         if now >= self._call.end_at:
             return False
         if number == 0:
-            self._services.budget(self._call.service).record_first(now)
+            self._services.budget(self._call.service).record_first_attempt(now)
             return True
         return self._services.may_repeat(self._call.service)
 
     def _still_usable(self, engine: WorkerRecord) -> WorkerRecord | None:
         record = self._services.mirror.workers.get(engine.worker_id)
-        statistics = self._services.worker_statistics.of(engine.worker_id)
+        statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         tried = engine.worker_id in self._call.workers_tried
-        out_of_use = statistics.out_of_use(clock.now())
+        out_of_use = statistics.is_unavailable(clock.now())
         accepts = record is not None and self._services.mirror.workers.accepts_work(record)
         if accepts and not out_of_use and not tried:
             return record
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -134,7 +134,7 @@
                 self._record_unreadable_report(problem, source)
             elif self.quarantine.apply_report(report, now):
                 changed = True
-                self._worker_statistics.of(report.worker_id).note_ended(now - report.age)
+                self._worker_statistics.get_or_create(report.worker_id).record_end(now - report.age)
         if changed:
             self._review_verdicts()
             self.on_news()
@@ -170,7 +170,7 @@
         if not await self._has_exited(worker):
             return
         now = clock.now()
-        self._worker_statistics.of(worker.worker_id).note_ended(now)
+        self._worker_statistics.get_or_create(worker.worker_id).record_end(now)
         request, worker_id = call.fingerprint, worker.worker_id
         if not self.quarantine.record_crash(request, worker_id, now, progressed=progressed):
             return
--- a/src/corkcrank/node/workers/worker_health.py
+++ b/src/corkcrank/node/workers/worker_health.py
@@ -56,26 +56,26 @@
     def note(self, worker: WorkerRecord, outcome: CallOutcome) -> None:
         """Record the outcome of a call at a worker; evaluate its service at once on a fault."""
         now = clock.now()
-        self._outcomes.note(worker.worker_id, outcome, now)
+        self._outcomes.record_outcome(worker.worker_id, outcome, now)
         if outcome is CallOutcome.FAULT:
             self._evaluate_service(worker.service, now)
 
     def take(self, peer: str, zone: str, told: Iterable[ReportedOutcomes]) -> None:
         """Apply a peer's report of call outcomes at workers that failed its calls."""
-        self._outcomes.take(peer, zone, told, clock.now())
+        self._outcomes.apply_peer_report(peer, zone, told, clock.now())
 
     def forget(self, peer: str) -> None:
         """Remove the outcomes that an unreachable peer reported."""
-        self._outcomes.forget(peer)
+        self._outcomes.remove_peer(peer)
 
     def reported(self, now: float) -> tuple[ReportedOutcomes, ...]:
         """Return the outcomes that a heartbeat reports to peers."""
-        return self._outcomes.reported(now)
+        return self._outcomes.report_for_peers(now)
 
     def forget_all_but(self, worker_ids: Collection[str]) -> None:
         """Remove workers that are no longer listed."""
-        self._outcomes.forget_all_but(worker_ids)
-        self._detector.forget_all_but(worker_ids)
+        self._outcomes.retain_only(worker_ids)
+        self._detector.retain_only(worker_ids)
 
     async def watch(self) -> None:
         """Evaluate, in an endless loop, the services with a recorded failure."""
@@ -83,7 +83,7 @@
         while True:
             await asyncio.sleep(EVALUATION_INTERVAL_SECONDS)
             now = clock.now()
-            suspects = self._outcomes.failing(now) | self._detector.judged()
+            suspects = self._outcomes.failing_workers(now) | self._detector.unhealthy_workers()
             records = (self._mirror.workers.get(worker_id) for worker_id in suspects)
             services = {record.service for record in records if record is not None}
             # Evaluates a service once more after its last failure has decayed, so that no stale
@@ -94,18 +94,18 @@
 
     def _evaluate_service(self, service: str, now: float) -> None:
         workers = self._mirror.workers.usable(service)
-        changes = self._detector.judge(workers, now)
+        changes = self._detector.update_verdicts(workers, now)
         for worker in workers:
-            self._worker_statistics.of(worker.worker_id).excess = self._detector.excess(
+            self._worker_statistics.get_or_create(worker.worker_id).excess = self._detector.excess(
                 worker.worker_id
             )
         for change in changes:
-            self._worker_statistics.of(change.worker.worker_id).verdict = change.after
+            self._worker_statistics.get_or_create(change.worker.worker_id).verdict = change.after
             self._metrics.verdicts.labels(change.after.value).inc()
             self._log_change(change)
 
     def _log_change(self, change: VerdictChange) -> None:
-        counts, same_zone = change.evidence.counts, change.evidence.near
+        counts, same_zone = change.evidence.counts, change.evidence.same_zone
         self._log.write(
             _EVENTS[change.after],
             worker=change.worker.worker_id,
@@ -125,5 +125,5 @@
 _EVENTS = {
     Verdict.EJECTED: LogEvent.WORKER_EJECTED,
     Verdict.HALF_OPEN: LogEvent.WORKER_HALF_OPEN,
-    Verdict.SOUND: LogEvent.WORKER_RESTORED,
+    Verdict.HEALTHY: LogEvent.WORKER_RESTORED,
 }
--- a/src/corkcrank/node/workers/worker_statements.py
+++ b/src/corkcrank/node/workers/worker_statements.py
@@ -53,12 +53,12 @@
             if not report.readable:
                 self._record_unreadable_limit(report.worker_id, f"report of {source}")
                 continue
-            change = self.limits.take(report, now)
+            change = self.limits.apply_peer_report(report, now)
             if change is not None:
                 self._record_change(report.worker_id, change, report.rate, source, report.age)
 
     def _record_stated_limit(self, worker: WorkerRecord, rate: float | None) -> None:
-        change = self.limits.hear(worker.worker_id, rate, clock.now())
+        change = self.limits.record_answer(worker.worker_id, rate, clock.now())
         if change is None:
             return
         self._record_change(worker.worker_id, change, rate, LOCAL_CALL, 0.0)
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -121,13 +121,15 @@
             engine
             for engine in engines
             if engine.worker_id not in question.excluded
-            and not worker_statistics.of(engine.worker_id).out_of_use(now)
+            and not worker_statistics.get_or_create(engine.worker_id).is_unavailable(now)
         ]
         affinity = _affinity_key(question.prompt)
         kept = self._recently_read_parts(usable, question.prompt, now)
 
         def order(engine: WorkerRecord) -> tuple[int, float]:
-            cost = self._cost(engine, kept, question, worker_statistics.of(engine.worker_id), now)
+            cost = self._cost(
+                engine, kept, question, worker_statistics.get_or_create(engine.worker_id), now
+            )
             weight = question.weights.get(engine.worker_id, 1.0)
             return int(cost / COST_TIE_TOKENS), -weighted_rendezvous(
                 affinity, engine.worker_id, weight
@@ -178,7 +180,7 @@
         if statistics.avoid_until > now:
             cost += FAILURE_COST_TOKENS
         cost += EXCESS_FAILURE_COST_TOKENS * statistics.excess
-        if statistics.set_aside(repeatable=question.repeatable):
+        if statistics.is_last_resort(repeatable=question.repeatable):
             cost += EJECTION_COST_TOKENS
         return cost + question.penalties.get(engine.worker_id, 0.0)
 
--- a/src/corkcrank/scheduling/fleet_retry_budget.py
+++ b/src/corkcrank/scheduling/fleet_retry_budget.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-SAFETY = 0.7
+SAFETY_FACTOR = 0.7
 """Part of the budget that is used: the member count lags behind, and the windows slide."""
 
 
@@ -22,7 +22,7 @@
     _firsts: deque[float] = field(default_factory=deque)
     _repeats: deque[float] = field(default_factory=deque)
 
-    def record_first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Record a first attempt."""
         self._trim(now)
         self._firsts.append(now)
@@ -41,7 +41,7 @@
         """
         self._trim(now)
         earned = self.ratio * len(self._firsts) + self.allowance / max(1, members)
-        return SAFETY * earned - len(self._repeats)
+        return SAFETY_FACTOR * earned - len(self._repeats)
 
     def try_spend(self, now: float, members: int) -> bool:
         """Spend one repeat if the budget allows it; return whether it did."""
--- a/src/corkcrank/scheduling/outlier_detection.py
+++ b/src/corkcrank/scheduling/outlier_detection.py
@@ -17,14 +17,14 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.scheduling.worker_outcomes import Counts, Evidence, OutcomeTable
 
-CONFIDENCE = 2.5
+CONFIDENCE_STANDARD_DEVIATIONS = 2.5
 """Standard deviations between a worker's failure rate and the lower bound of it."""
 
-LEAST_EXCESS = 0.1
+MIN_EXCESS_FOR_EJECTION = 0.1
 """Failure rate above that of the other workers which the lower bound must reach for an ejection.
 Below it, repeating the failed calls costs less than the worker's capacity is worth."""
 
-LEAST_FAILURES = 2.2
+MIN_FAILURES_FOR_EJECTION = 2.2
 """Weight of failures below which no worker is ejected: two failures never reach it, three within
 four seconds do."""
 
@@ -38,34 +38,34 @@
 """Weight of the usual rate as a prior, in calls: one failure among two calls raises the expected
 rate from 0.1 to 0.21, three among six raise it to 0.32."""
 
-MOST_EJECTED_SHARE = 0.5
+MAX_EJECTED_SHARE = 0.5
 """Share of a service's workers that may be ejected or half open at a time. If all workers fail,
 calls are still spread over them."""
 
-EJECTION_SECONDS = 3.0
+BASE_EJECTION_SECONDS = 3.0
 """Duration of a worker's first ejection: the usual length of a short fault."""
 
-LONGEST_EJECTION_SECONDS = 12.0
+MAX_EJECTION_SECONDS = 12.0
 """Upper limit of an ejection. Each consecutive ejection lasts twice as long as the previous one."""
 
-MOST_DOUBLINGS = 8
+MAX_DOUBLINGS = 8
 """Limit of the exponent of the doubling, which keeps the power finite. The upper limit of an
 ejection is reached before it."""
 
-EJECTION_SPREAD = 0.2
+EJECTION_JITTER = 0.2
 """Random part of an ejection's duration, up or down, so that gateways do not probe together."""
 
-MEMORY_SECONDS = 20.0
+EJECTION_RESET_SECONDS = 20.0
 """Time after which the ejections of a healthy worker start again at the first duration."""
 
-PROBES_SERVED = 4.5
+MIN_SERVED_FOR_RESTORATION = 4.5
 """Weight of served calls, with no failure among them, that restores a half-open worker. A worker
 that fails half of its calls passes five probes once in 32 times."""
 
-PROBE_FAILURES = 0.5
+MIN_PROBE_FAILURES_FOR_EJECTION = 0.5
 """Weight of failures that ejects a half-open worker again."""
 
-LONGEST_HALF_OPEN_SECONDS = 15.0
+MAX_HALF_OPEN_SECONDS = 15.0
 """Time after which a half-open worker is restored without probes, as in a service that has no
 repeatable calls. Its old failures then have an eighth of their weight."""
 
@@ -73,7 +73,7 @@
 class Verdict(StrEnum):
     """State of a worker: usable, ejected, or half open for probes."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     EJECTED = "ejected"
     HALF_OPEN = "half-open"
 
@@ -123,20 +123,20 @@
     def verdict(self, worker_id: str) -> Verdict:
         """Return the verdict on a worker; an unknown worker is healthy."""
         state = self._states.get(worker_id)
-        return state.verdict if state is not None else Verdict.SOUND
+        return state.verdict if state is not None else Verdict.HEALTHY
 
-    def judged(self) -> set[str]:
+    def unhealthy_workers(self) -> set[str]:
         """Return the ids of the workers that are ejected or half open."""
-        return {key for key, item in self._states.items() if item.verdict is not Verdict.SOUND}
+        return {key for key, item in self._states.items() if item.verdict is not Verdict.HEALTHY}
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove the state of all workers but these."""
         for worker_id in [key for key in self._states if key not in worker_ids]:
             del self._states[worker_id]
         for worker_id in [key for key in self._excess if key not in worker_ids]:
             del self._excess[worker_id]
 
-    def judge(self, workers: Sequence[WorkerRecord], now: float) -> list[VerdictChange]:
+    def update_verdicts(self, workers: Sequence[WorkerRecord], now: float) -> list[VerdictChange]:
         """Update the verdicts on all usable workers of one service; return the changes."""
         evidence = {
             worker.worker_id: self._evidence_since_baseline(worker.worker_id, now)
@@ -156,7 +156,7 @@
             USUAL_RATE, _failure_rate_of_better_half([item.counts for item in evidence.values()])
         )
         for worker_id, item in evidence.items():
-            self._excess[worker_id] = max(0.0, expected_rate(item.counts, usual) - usual)
+            self._excess[worker_id] = max(0.0, expected_failure_rate(item.counts, usual) - usual)
 
     def _evidence_since_baseline(self, worker_id: str, now: float) -> Evidence:
         """Return a worker's evidence since its last change to half open or healthy."""
@@ -179,12 +179,12 @@
         if state.verdict is not Verdict.HALF_OPEN:
             return None
         counts = evidence.counts
-        if counts.failed >= PROBE_FAILURES:
+        if counts.failed >= MIN_PROBE_FAILURES_FOR_EJECTION:
             return self._set_verdict(worker, Verdict.EJECTED, evidence, 0.0, now)
-        expired = now - state.since >= LONGEST_HALF_OPEN_SECONDS
-        if counts.served >= PROBES_SERVED or expired:
+        expired = now - state.since >= MAX_HALF_OPEN_SECONDS
+        if counts.served >= MIN_SERVED_FOR_RESTORATION or expired:
             self._reset_baseline(state, worker.worker_id, now)
-            return self._set_verdict(worker, Verdict.SOUND, evidence, 0.0, now)
+            return self._set_verdict(worker, Verdict.HEALTHY, evidence, 0.0, now)
         return None
 
     def _reset_baseline(self, state: _EjectionState, worker_id: str, now: float) -> None:
@@ -195,21 +195,23 @@
         self, workers: Sequence[WorkerRecord], evidence: dict[str, Evidence], now: float
     ) -> list[VerdictChange]:
         """Eject outliers, the highest lower bound first, up to the allowed share of workers."""
-        not_healthy = sum(self.verdict(worker.worker_id) is not Verdict.SOUND for worker in workers)
-        allowed = int(MOST_EJECTED_SHARE * len(workers)) - not_healthy
+        not_healthy = sum(
+            self.verdict(worker.worker_id) is not Verdict.HEALTHY for worker in workers
+        )
+        allowed = int(MAX_EJECTED_SHARE * len(workers)) - not_healthy
         if allowed <= 0:
             return []
         outliers: list[tuple[float, float, WorkerRecord]] = []
         for worker in workers:
             counts = evidence[worker.worker_id].counts
-            healthy = self.verdict(worker.worker_id) is Verdict.SOUND
-            if not healthy or counts.failed < LEAST_FAILURES:
+            healthy = self.verdict(worker.worker_id) is Verdict.HEALTHY
+            if not healthy or counts.failed < MIN_FAILURES_FOR_EJECTION:
                 continue
             others = _failure_rate_of_better_half(
                 [item.counts for key, item in evidence.items() if key != worker.worker_id]
             )
-            bound = lowest_rate(counts)
-            if bound >= others + LEAST_EXCESS:
+            bound = failure_rate_lower_bound(counts)
+            if bound >= others + MIN_EXCESS_FOR_EJECTION:
                 outliers.append((bound, others, worker))
         outliers.sort(key=lambda item: item[0], reverse=True)
         return [
@@ -220,25 +222,27 @@
     def _set_verdict(
         self, worker: WorkerRecord, after: Verdict, evidence: Evidence, others: float, now: float
     ) -> VerdictChange:
-        state = self._states.setdefault(worker.worker_id, _EjectionState(Verdict.SOUND, since=now))
+        state = self._states.setdefault(
+            worker.worker_id, _EjectionState(Verdict.HEALTHY, since=now)
+        )
         before, seconds = state.verdict, now - state.since
         if after is Verdict.EJECTED:
-            if before is Verdict.SOUND and seconds >= MEMORY_SECONDS:
+            if before is Verdict.HEALTHY and seconds >= EJECTION_RESET_SECONDS:
                 state.ejections = 0
             state.until = now + self._ejection_seconds(state.ejections)
             state.ejections += 1
         state.verdict, state.since = after, now
-        bound = lowest_rate(evidence.counts)
+        bound = failure_rate_lower_bound(evidence.counts)
         return VerdictChange(worker, before, after, evidence, bound, others, seconds)
 
     def _ejection_seconds(self, ejections: int) -> float:
         seconds = min(
-            LONGEST_EJECTION_SECONDS, EJECTION_SECONDS * 2.0 ** min(ejections, MOST_DOUBLINGS)
+            MAX_EJECTION_SECONDS, BASE_EJECTION_SECONDS * 2.0 ** min(ejections, MAX_DOUBLINGS)
         )
-        return seconds * self._random.uniform(1.0 - EJECTION_SPREAD, 1.0 + EJECTION_SPREAD)
+        return seconds * self._random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
 
 
-def expected_rate(counts: Counts, usual: float) -> float:
+def expected_failure_rate(counts: Counts, usual: float) -> float:
     """Return the mean of the Beta posterior of a failure rate, with the usual rate as prior.
 
     A fixed prior made workers that all fail look better the fewer calls they had.
@@ -249,7 +253,7 @@
     return (counts.failed + usual * PRIOR_WEIGHT) / (counts.total + PRIOR_WEIGHT)
 
 
-def lowest_rate(counts: Counts) -> float:
+def failure_rate_lower_bound(counts: Counts) -> float:
     """Return the lower end of the Wilson interval of a failure rate.
 
     >>> lowest_rate(Counts(0.0, 0.0)), round(lowest_rate(Counts(3.0, 3.0)), 2)
@@ -258,9 +262,14 @@
     total = counts.total
     if total <= 0.0:
         return 0.0
-    rate, square = counts.failed / total, CONFIDENCE * CONFIDENCE
+    rate, square = (
+        counts.failed / total,
+        CONFIDENCE_STANDARD_DEVIATIONS * CONFIDENCE_STANDARD_DEVIATIONS,
+    )
     middle = rate + square / (2.0 * total)
-    spread = CONFIDENCE * sqrt(rate * (1.0 - rate) / total + square / (4.0 * total * total))
+    spread = CONFIDENCE_STANDARD_DEVIATIONS * sqrt(
+        rate * (1.0 - rate) / total + square / (4.0 * total * total)
+    )
     return max(0.0, (middle - spread) / (1.0 + square / total))
 
 
--- a/src/corkcrank/scheduling/peer_loads.py
+++ b/src/corkcrank/scheduling/peer_loads.py
@@ -28,7 +28,7 @@
         before = self._reported_by_peer.get(peer, {})
         for worker_id in {**reported, **before}:
             new, old = reported.get(worker_id, _NO_LOAD), before.get(worker_id, _NO_LOAD)
-            statistics = self._worker_statistics.of(worker_id)
+            statistics = self._worker_statistics.get_or_create(worker_id)
             statistics.peers_in_flight += new.in_flight - old.in_flight
             statistics.peers_reading += new.reading - old.reading
         self._reported_by_peer[peer] = reported
--- a/src/corkcrank/scheduling/rate_limits.py
+++ b/src/corkcrank/scheduling/rate_limits.py
@@ -19,17 +19,17 @@
 
 from corkcrank.contracts.rendezvous import rendezvous_weight
 
-SECOND = 1.0
+DEFAULT_WINDOW_SECONDS = 1.0
 """Window of a warming worker's rate, and of bursts at a worker that states a rate, in seconds."""
 
 STATED_WINDOW_SECONDS = 4.0
 """Window over which a rate that a worker states is kept exactly."""
 
-SLOT_SHARE = 0.5
+LOCAL_SLOT_SHARE = 0.5
 """Part of the rate that the local slots of all gateways add up to. The rest is a margin: several
 slots may coincide by chance, and an owner may be granting at the same time."""
 
-LONGEST_WAIT_SECONDS = 10.0
+MAX_WAIT_SECONDS = 10.0
 """Wait that is returned for a worker with a rate of zero."""
 
 _PHASES = 1 << 32
@@ -40,7 +40,7 @@
     """Limit of ``rate`` requests a second, kept over a window of ``window`` seconds."""
 
     rate: float
-    window: float = SECOND
+    window: float = DEFAULT_WINDOW_SECONDS
 
     @property
     def requests(self) -> int:
@@ -52,7 +52,7 @@
         return max(1, int(self.rate * self.window)) if self.rate > 0 else 0
 
 
-def stated_limits(rate: float) -> tuple[RateLimit, ...]:
+def limits_for_stated_rate(rate: float) -> tuple[RateLimit, ...]:
     """Return the limits of a worker that states a rate: one for bursts, one for the longer window.
 
     >>> stated_limits(1.2)
@@ -78,21 +78,23 @@
         >>> [log.fits("w", (RateLimit(rate),), at) for rate, at in ((2, 5.5), (1, 5.5), (1, 6.1))]
         [True, False, True]
         """
-        return self.wait(worker_id, limits, now) <= 0.0
+        return self.seconds_until_fit(worker_id, limits, now) <= 0.0
 
-    def wait(self, worker_id: str, limits: Sequence[RateLimit], now: float) -> float:
+    def seconds_until_fit(self, worker_id: str, limits: Sequence[RateLimit], now: float) -> float:
         """Return the seconds until a worker may get one more request."""
         granted = self._granted.get(worker_id, ())
         return max((_seconds_until_fit(granted, limit, now) for limit in limits), default=0.0)
 
-    def note(self, worker_id: str, now: float, longest: float = STATED_WINDOW_SECONDS) -> None:
+    def record_grant(
+        self, worker_id: str, now: float, max_age: float = STATED_WINDOW_SECONDS
+    ) -> None:
         """Record a granted request; remove grants that are older than ``longest`` seconds."""
         granted = self._granted.setdefault(worker_id, deque())
-        while granted and granted[0] <= now - longest:
+        while granted and granted[0] <= now - max_age:
             granted.popleft()
         granted.append(now)
 
-    def forget_before(self, time: float) -> None:
+    def remove_idle_since(self, time: float) -> None:
         """Remove workers whose newest grant is older than ``time``."""
         for worker_id in [key for key, granted in self._granted.items() if granted[-1] < time]:
             del self._granted[worker_id]
@@ -101,7 +103,7 @@
 def _seconds_until_fit(granted: Sequence[float], limit: RateLimit, now: float) -> float:
     requests = limit.requests
     if requests == 0:
-        return LONGEST_WAIT_SECONDS
+        return MAX_WAIT_SECONDS
     if len(granted) < requests:
         return 0.0
     # Wait until this grant is older than the window; then one more request fits.
@@ -111,22 +113,22 @@
 class LocalSlots:
     """Time slots in which one gateway may send to a limited worker without a grant of the owner."""
 
-    def __init__(self, own_name: str) -> None:
-        self._local_name = own_name
+    def __init__(self, local_name: str) -> None:
+        self._local_name = local_name
         self._used: dict[str, int] = {}
 
-    def open(self, worker_id: str, rate: float, members: int, now: float) -> bool:
+    def is_open(self, worker_id: str, rate: float, members: int, now: float) -> bool:
         """Return whether a request may be sent now; ``rate`` is in requests a second."""
         position, slot = self._position(worker_id, rate, members, now)
         return position < 1.0 and self._used.get(worker_id) != slot
 
-    def note(self, worker_id: str, rate: float, members: int, now: float) -> None:
+    def record_use(self, worker_id: str, rate: float, members: int, now: float) -> None:
         """Record that the present slot is used for a request."""
         self._used[worker_id] = self._position(worker_id, rate, members, now)[1]
 
     def _position(self, worker_id: str, rate: float, members: int, now: float) -> tuple[float, int]:
         """Return the position in a round of ``members`` slots, and the number of the round."""
         phase = rendezvous_weight(self._local_name, worker_id) % _PHASES / _PHASES
-        rounds = now * SLOT_SHARE * rate / members + phase
+        rounds = now * LOCAL_SLOT_SHARE * rate / members + phase
         round_number = int(rounds)
         return (rounds - round_number) * members, round_number
--- a/src/corkcrank/scheduling/stage_choice.py
+++ b/src/corkcrank/scheduling/stage_choice.py
@@ -75,8 +75,8 @@
     best: tuple[WorkerRecord, QueueForecast] | None = None
     best_cost: tuple[float, float] | None = None
     for worker in candidates:
-        statistics = worker_statistics.of(worker.worker_id)
-        if worker.worker_id in excluded or statistics.out_of_use(now):
+        statistics = worker_statistics.get_or_create(worker.worker_id)
+        if worker.worker_id in excluded or statistics.is_unavailable(now):
             continue
         expected = forecast(worker)
         cost = _cost_seconds(worker, expected, placing)
@@ -84,7 +84,7 @@
         if statistics.avoid_until > now:
             cost += FAILURE_COST_SECONDS
         cost += EXCESS_FAILURE_COST_SECONDS * statistics.excess
-        if statistics.set_aside(repeatable=True):
+        if statistics.is_last_resort(repeatable=True):
             cost += EJECTION_COST_SECONDS
         key = (cost, random_source.random())
         if best_cost is None or key < best_cost:
--- a/src/corkcrank/scheduling/stated_limits.py
+++ b/src/corkcrank/scheduling/stated_limits.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-SILENT_SECONDS = 10.0
+MAX_SILENCE_SECONDS = 10.0
 """Time without an answer of the worker after which its limit counts as ended. Only an answer to a
 new request shows whether the limit still holds."""
 
@@ -25,17 +25,17 @@
 RAMP_DOUBLING_SECONDS = 1.0
 """Time in which the rate doubles after the end of a limit."""
 
-RAMP_FLOOR = 0.5
+MIN_RAMP_RATE = 0.5
 """Lowest rate that the rise starts from, in requests a second, also after a limit of zero."""
 
-NEWER_SECONDS = 0.25
+MIN_REPORT_LEAD_SECONDS = 0.25
 """Time by which a peer's report must be newer than the known state to replace it. It is longer than
 a report takes to arrive, so that a report does not become younger when it is passed on."""
 
-MOST_REPORTED = 64
+MAX_REPORTED_LIMITS = 64
 """Number of limits that one heartbeat reports; the newest are chosen."""
 
-HIGHEST_AMOUNT = 1e6
+MAX_REPORTED_AMOUNT = 1e6
 """Highest valid rate, and highest valid age in seconds, of a report."""
 
 _NOT_ENDED = float("inf")
@@ -72,17 +72,17 @@
     """A worker's limit in requests a second, when it was last stated, and when it ended."""
 
     rate: float
-    heard_at: float
+    stated_at: float
     ended_at: float = _NOT_ENDED
 
     @property
-    def told_at(self) -> float:
+    def updated_at(self) -> float:
         """Return when the newest answer behind this state was received."""
-        return self.heard_at if self.ended_at == _NOT_ENDED else self.ended_at
+        return self.stated_at if self.ended_at == _NOT_ENDED else self.ended_at
 
     def ends_at(self) -> float:
         """Return when the limit ended, or when it will end if no answer arrives."""
-        return min(self.ended_at, self.heard_at + SILENT_SECONDS)
+        return min(self.ended_at, self.stated_at + MAX_SILENCE_SECONDS)
 
     def rate_at(self, now: float) -> float | None:
         """Return the rate limit at a time, ``None`` if it no longer applies.
@@ -96,7 +96,7 @@
             return self.rate
         if since_end >= RAMP_SECONDS:
             return None
-        return float(max(self.rate, RAMP_FLOOR) * 2.0 ** (since_end / RAMP_DOUBLING_SECONDS))
+        return float(max(self.rate, MIN_RAMP_RATE) * 2.0 ** (since_end / RAMP_DOUBLING_SECONDS))
 
 
 class StatedLimits:
@@ -122,9 +122,9 @@
     def age(self, worker_id: str, now: float) -> float:
         """Return the age of the newest answer on a worker's limit, in seconds."""
         limit = self._limits.get(worker_id)
-        return now - limit.told_at if limit is not None else 0.0
+        return now - limit.updated_at if limit is not None else 0.0
 
-    def hear(self, worker_id: str, rate: float | None, now: float) -> LimitChange | None:
+    def record_answer(self, worker_id: str, rate: float | None, now: float) -> LimitChange | None:
         """Record the rate that an answer states, ``None`` for no limit; return the change.
 
         >>> limits = StatedLimits()
@@ -140,20 +140,20 @@
         known.ended_at = now
         return LimitChange.ENDED
 
-    def take(self, report: ReportedLimit, now: float) -> LimitChange | None:
+    def apply_peer_report(self, report: ReportedLimit, now: float) -> LimitChange | None:
         """Apply a peer's report if it is newer; return the change."""
-        if report.age >= (RAMP_SECONDS if report.ended else SILENT_SECONDS):
+        if report.age >= (RAMP_SECONDS if report.ended else MAX_SILENCE_SECONDS):
             # A limit that has ended everywhere must not return by an old report.
             return None
         known = self._limits.get(report.worker_id)
-        told_at = now - report.age
-        if known is not None and told_at <= known.told_at + NEWER_SECONDS:
+        updated_at = now - report.age
+        if known is not None and updated_at <= known.updated_at + MIN_REPORT_LEAD_SECONDS:
             return None
         if not report.ended:
-            return self._set_limit(report.worker_id, report.rate, told_at, now)
+            return self._set_limit(report.worker_id, report.rate, updated_at, now)
         if known is None or known.ended_at != _NOT_ENDED:
             return None
-        known.ended_at = told_at
+        known.ended_at = updated_at
         return LimitChange.ENDED
 
     def _set_limit(self, worker_id: str, rate: float, at: float, now: float) -> LimitChange | None:
@@ -163,14 +163,16 @@
             return LimitChange.NAMED
         return LimitChange.CHANGED if known.rate != rate else None
 
-    def reported(self, now: float, worker_ids: Collection[str] = ()) -> tuple[ReportedLimit, ...]:
+    def reports_for_peers(
+        self, now: float, worker_ids: Collection[str] = ()
+    ) -> tuple[ReportedLimit, ...]:
         """Return reports for peers, the newest first; only on ``worker_ids``, if given."""
         self._remove_ended(now)
         chosen = [item for item in self._limits.items() if not worker_ids or item[0] in worker_ids]
-        chosen.sort(key=lambda item: -item[1].told_at)
-        return tuple(_report(*item, now) for item in chosen[:MOST_REPORTED])
+        chosen.sort(key=lambda item: -item[1].updated_at)
+        return tuple(_report(*item, now) for item in chosen[:MAX_REPORTED_LIMITS])
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove the limits of all workers but these."""
         for worker_id in self._limits.keys() - set(worker_ids):
             del self._limits[worker_id]
@@ -182,8 +184,8 @@
 
 def _report(worker_id: str, limit: StatedLimit, now: float) -> ReportedLimit:
     ended = limit.ended_at != _NOT_ENDED
-    return ReportedLimit(worker_id, limit.rate, round(now - limit.told_at, 2), ended)
+    return ReportedLimit(worker_id, limit.rate, round(now - limit.updated_at, 2), ended)
 
 
 def _is_valid_amount(value: float) -> bool:
-    return 0 <= value <= HIGHEST_AMOUNT
+    return 0 <= value <= MAX_REPORTED_AMOUNT
--- a/src/corkcrank/scheduling/worker_choice.py
+++ b/src/corkcrank/scheduling/worker_choice.py
@@ -25,18 +25,18 @@
 """Pressure of a worker that is expected to fail all of its calls while the others fail none. A
 higher value lets a random excess concentrate calls on workers with few slots."""
 
-ENDED_SECONDS = 5.0
+ENDED_EXCLUSION_SECONDS = 5.0
 """Time for which an incarnation that has ended gets no calls. Its entry is removed after three
 missed heartbeats of the worker, 3.6 s. If it is still listed after this time, the end was detected
 by mistake and the incarnation is tried again."""
 
-HALF_OPEN_CALLS = 2
+MAX_HALF_OPEN_CALLS = 2
 """Limit of calls in flight of all gateways together at a half-open worker that is probed."""
 
 LIMITED_PENALTY = 1.0
 """Pressure that a rate limit adds: a limited worker looks idle because few calls are sent to it."""
 
-REMOTE_PENALTY = 0.25
+OTHER_ZONE_PENALTY = 0.25
 """Pressure that a worker in another zone has in addition."""
 
 
@@ -58,7 +58,7 @@
     leaving: bool = False
     ended_until: float = 0.0
     seconds: float = 0.0
-    verdict: Verdict = Verdict.SOUND
+    verdict: Verdict = Verdict.HEALTHY
     excess: float = 0.0
 
     def recent_failures(self, now: float) -> int:
@@ -68,24 +68,24 @@
         self.failures = [at for at in self.failures if at > now - FAILURE_MEMORY_SECONDS]
         return len(self.failures)
 
-    def note_ended(self, at: float) -> None:
+    def record_end(self, at: float) -> None:
         """Record when this incarnation ended; it gets no calls until its entry is removed."""
-        self.ended_until = max(self.ended_until, at + ENDED_SECONDS)
+        self.ended_until = max(self.ended_until, at + ENDED_EXCLUSION_SECONDS)
 
-    def out_of_use(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Return whether the worker gets no calls because it is leaving or has ended."""
         return self.leaving or self.ended_until > now
 
-    def set_aside(self, *, repeatable: bool) -> bool:
+    def is_last_resort(self, *, repeatable: bool) -> bool:
         """Return whether the worker gets a call only if no other worker is free.
 
         A call that must not run twice is never used to probe a half-open worker.
         """
-        if self.verdict is Verdict.SOUND:
+        if self.verdict is Verdict.HEALTHY:
             return False
         if self.verdict is Verdict.EJECTED or not repeatable:
             return True
-        return self.in_flight + self.peers_in_flight >= HALF_OPEN_CALLS
+        return self.in_flight + self.peers_in_flight >= MAX_HALF_OPEN_CALLS
 
 
 class WorkerStatisticsTable:
@@ -94,14 +94,14 @@
     def __init__(self) -> None:
         self._statistics: dict[str, WorkerStatistics] = {}
 
-    def of(self, worker_id: str) -> WorkerStatistics:
+    def get_or_create(self, worker_id: str) -> WorkerStatistics:
         """Return the statistics of a worker; create them if there are none."""
         statistics = self._statistics.get(worker_id)
         if statistics is None:
             statistics = self._statistics[worker_id] = WorkerStatistics()
         return statistics
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove all workers but these and those with a local call in flight."""
         for worker_id in list(self._statistics):
             if worker_id not in worker_ids and not self._statistics[worker_id].in_flight:
@@ -155,11 +155,11 @@
     """Return the workers that are not excluded, sorted as :func:`choose_worker` prefers them."""
     keyed = []
     for record in candidates:
-        statistics = worker_statistics.of(record.worker_id)
-        if record.worker_id in excluded or statistics.out_of_use(now):
+        statistics = worker_statistics.get_or_create(record.worker_id)
+        if record.worker_id in excluded or statistics.is_unavailable(now):
             continue
         pressure = _pressure(record, statistics, zone, now)
-        if statistics.set_aside(repeatable=repeatable):
+        if statistics.is_last_resort(repeatable=repeatable):
             pressure += EJECTED_PENALTY
         if record.worker_id in limited:
             pressure += LIMITED_PENALTY
@@ -175,5 +175,5 @@
     if statistics.avoid_until > now:
         pressure += FAILURE_PENALTY
     if record.zone != zone:
-        pressure += REMOTE_PENALTY
+        pressure += OTHER_ZONE_PENALTY
     return pressure
--- a/src/corkcrank/scheduling/worker_outcomes.py
+++ b/src/corkcrank/scheduling/worker_outcomes.py
@@ -14,28 +14,28 @@
 """Time in which an outcome loses half of its weight. At 3 calls a second a worker's calls have a
 weight of some 22, enough to tell a worker that fails a quarter of its calls from a healthy one."""
 
-SAME_MOMENT_SECONDS = 0.3
+COMMON_CAUSE_SECONDS = 0.3
 """Connections to two workers that fail within this time are taken to fail for a local cause: a cut
 link, a reset of this machine's connections or a pause of this process."""
 
-MOST_PEER_FAULTS = 1.5
+MAX_PEER_FAULTS = 1.5
 """Weight of faults that one peer's report on a worker is limited to. It is less than an ejection
 needs, so one gateway alone cannot make the others eject a worker."""
 
-ENOUGH_NEAR_CALLS = 10.0
+MIN_SAME_ZONE_CALLS = 10.0
 """Weight of calls from the local zone that suffices for a verdict. Reports from other zones only
 fill up what is missing, because a worker may fail the callers of one zone only."""
 
-MOST_TOLD = 32
+MAX_REPORTED_WORKERS = 32
 """Workers whose outcomes one heartbeat reports, about 20 bytes each before compression."""
 
-LEAST_TOLD_FAULTS = 0.25
+MIN_REPORTED_FAULTS = 0.25
 """Weight of faults from which a worker is reported: one fault has it for two half-lives."""
 
-LEAST_TOLD_SERVED = 0.5
+MIN_REPORTED_SERVED = 0.5
 """Weight of served calls from which a worker is reported if a peer reported faults of it."""
 
-UNIT = 0.1
+REPORT_UNIT = 0.1
 """Weight that stands for 1 in the whole numbers of a heartbeat."""
 
 
@@ -46,7 +46,7 @@
     """A complete answer that is not a fault. An error that the caller caused is such an answer."""
     FAULT = "fault"
     """A signed answer in which the worker reports its own failure."""
-    BROKEN = "broken"
+    CONNECTION_FAILED = "broken"
     """The connection closed or went silent: the worker, the link or this machine failed."""
 
 
@@ -79,22 +79,23 @@
 class Evidence:
     """Outcomes at one worker: for callers of the local zone, and for those of other zones."""
 
-    near: Counts = Counts()
-    far: Counts = Counts()
+    same_zone: Counts = Counts()
+    other_zone: Counts = Counts()
 
     @property
     def counts(self) -> Counts:
         """Return the sum, in which other zones only fill up what the local zone lacks."""
-        missing = max(0.0, ENOUGH_NEAR_CALLS - self.near.total)
-        if self.far.total <= missing:
-            return self.near.plus(self.far)
-        return self.near.plus(self.far.scaled(missing / self.far.total))
+        missing = max(0.0, MIN_SAME_ZONE_CALLS - self.same_zone.total)
+        if self.other_zone.total <= missing:
+            return self.same_zone.plus(self.other_zone)
+        return self.same_zone.plus(self.other_zone.scaled(missing / self.other_zone.total))
 
     def since(self, before: "Evidence", seconds: float) -> "Evidence":
         """Return the outcomes since ``before``, the evidence as it was ``seconds`` ago."""
-        factor = fading(seconds)
+        factor = decay_factor(seconds)
         return Evidence(
-            self.near.less(before.near.scaled(factor)), self.far.less(before.far.scaled(factor))
+            self.same_zone.less(before.same_zone.scaled(factor)),
+            self.other_zone.less(before.other_zone.scaled(factor)),
         )
 
 
@@ -116,7 +117,7 @@
     connection_failures: float = 0.0
 
     def decay(self, now: float) -> None:
-        factor = fading(now - self.at)
+        factor = decay_factor(now - self.at)
         self.at = max(self.at, now)
         self.served *= factor
         self.faults *= factor
@@ -149,29 +150,33 @@
     _workers_by_peer: dict[str, tuple[str, ...]] = field(default_factory=dict)
     _connection_failures: list[_ConnectionFailure] = field(default_factory=list)
 
-    def note(self, worker_id: str, outcome: CallOutcome, now: float) -> None:
+    def record_outcome(self, worker_id: str, outcome: CallOutcome, now: float) -> None:
         """Record the outcome of a call of this gateway."""
         match outcome:
             case CallOutcome.SERVED:
                 self._local_counts(worker_id, now).served += 1.0
             case CallOutcome.FAULT:
                 self._local_counts(worker_id, now).faults += 1.0
-            case CallOutcome.BROKEN:
+            case CallOutcome.CONNECTION_FAILED:
                 self._connection_failures.append(_ConnectionFailure(worker_id, now))
 
-    def take(self, peer: str, zone: str, outcomes: Iterable[ReportedOutcomes], now: float) -> None:
+    def apply_peer_report(
+        self, peer: str, zone: str, outcomes: Iterable[ReportedOutcomes], now: float
+    ) -> None:
         """Replace the previous report of a peer."""
-        self.forget(peer)
+        self.remove_peer(peer)
         worker_ids = []
         for item in outcomes:
-            counts = _limit_peer_faults(Counts(item.served * UNIT, item.faults * UNIT))
+            counts = _limit_peer_faults(
+                Counts(item.served * REPORT_UNIT, item.faults * REPORT_UNIT)
+            )
             reports = self._reports.setdefault(item.worker_id, {})
             reports[peer] = _PeerReport(zone == self.zone, now, counts)
             worker_ids.append(item.worker_id)
         if worker_ids:
             self._workers_by_peer[peer] = tuple(worker_ids)
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Remove the report of a peer that is no longer reachable."""
         for worker_id in self._workers_by_peer.pop(peer, ()):
             reports = self._reports.get(worker_id, {})
@@ -179,12 +184,12 @@
             if not reports:
                 self._reports.pop(worker_id, None)
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove the local counts of all workers but these."""
         for worker_id in [key for key in self._local if key not in worker_ids]:
             del self._local[worker_id]
 
-    def reported(self, now: float) -> tuple[ReportedOutcomes, ...]:
+    def report_for_peers(self, now: float) -> tuple[ReportedOutcomes, ...]:
         """Return the local outcomes at failing workers for a heartbeat, the most faults first.
 
         Served calls at workers with faults that only peers reported are included: without them a
@@ -195,39 +200,41 @@
         failing = [
             (worker_id, tally)
             for worker_id, tally in self._local.items()
-            if tally.faults >= LEAST_TOLD_FAULTS
-            or (tally.served >= LEAST_TOLD_SERVED and self._peers_report_failure(worker_id))
+            if tally.faults >= MIN_REPORTED_FAULTS
+            or (tally.served >= MIN_REPORTED_SERVED and self._peers_report_failure(worker_id))
         ]
         failing.sort(key=lambda item: item[1].faults, reverse=True)
         return tuple(
-            ReportedOutcomes(worker_id, round(tally.served / UNIT), round(tally.faults / UNIT))
-            for worker_id, tally in failing[:MOST_TOLD]
+            ReportedOutcomes(
+                worker_id, round(tally.served / REPORT_UNIT), round(tally.faults / REPORT_UNIT)
+            )
+            for worker_id, tally in failing[:MAX_REPORTED_WORKERS]
         )
 
     def evidence(self, worker_id: str, now: float) -> Evidence:
         """Return the local and the reported outcomes at a worker."""
         self._decide_connection_failures(now)
-        near = far = Counts()
+        same_zone = other_zone = Counts()
         tally = self._local.get(worker_id)
         if tally is not None:
             tally.decay(now)
-            near = Counts(tally.served, tally.faults + tally.connection_failures)
+            same_zone = Counts(tally.served, tally.faults + tally.connection_failures)
         for report in self._reports.get(worker_id, {}).values():
-            counts = report.counts.scaled(fading(now - report.at))
+            counts = report.counts.scaled(decay_factor(now - report.at))
             if report.same_zone:
-                near = near.plus(counts)
+                same_zone = same_zone.plus(counts)
             else:
-                far = far.plus(counts)
-        return Evidence(near, far)
+                other_zone = other_zone.plus(counts)
+        return Evidence(same_zone, other_zone)
 
-    def failing(self, now: float) -> set[str]:
+    def failing_workers(self, now: float) -> set[str]:
         """Return the workers with a failure, local or reported, that still has weight."""
         self._decide_connection_failures(now)
         local = {
             worker_id
             for worker_id, tally in self._local.items()
-            if (tally.faults + tally.connection_failures) * fading(now - tally.at)
-            >= LEAST_TOLD_FAULTS
+            if (tally.faults + tally.connection_failures) * decay_factor(now - tally.at)
+            >= MIN_REPORTED_FAULTS
         }
         return local.union(filter(self._peers_report_failure, self._reports))
 
@@ -244,20 +251,20 @@
         decidable = [
             item
             for item in self._connection_failures
-            if not item.decided and item.at <= now - SAME_MOMENT_SECONDS
+            if not item.decided and item.at <= now - COMMON_CAUSE_SECONDS
         ]
         for item in decidable:
             item.decided = True
             if not any(_may_share_a_cause(item, other) for other in self._connection_failures):
                 self._local_counts(item.worker_id, now).connection_failures += 1.0
         # A decided failure may still coincide with one that is not decided yet.
-        oldest = now - 2 * SAME_MOMENT_SECONDS
+        oldest = now - 2 * COMMON_CAUSE_SECONDS
         self._connection_failures = [
             item for item in self._connection_failures if not item.decided or item.at > oldest
         ]
 
 
-def fading(seconds: float) -> float:
+def decay_factor(seconds: float) -> float:
     """Return the part of a weight that is left after some seconds.
 
     >>> fading(0.0), fading(HALF_LIFE_SECONDS)
@@ -267,10 +274,10 @@
 
 
 def _limit_peer_faults(counts: Counts) -> Counts:
-    if counts.failed <= MOST_PEER_FAULTS:
+    if counts.failed <= MAX_PEER_FAULTS:
         return counts
-    return counts.scaled(MOST_PEER_FAULTS / counts.failed)
+    return counts.scaled(MAX_PEER_FAULTS / counts.failed)
 
 
 def _may_share_a_cause(one: _ConnectionFailure, other: _ConnectionFailure) -> bool:
-    return one.worker_id != other.worker_id and abs(one.at - other.at) <= SAME_MOMENT_SECONDS
+    return one.worker_id != other.worker_id and abs(one.at - other.at) <= COMMON_CAUSE_SECONDS
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -17,7 +17,7 @@
 )
 from corkcrank.machines.worker_changes import MOST_TOLD, WorkerChange, WorkerChangeBatch
 from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash, Trial, TrialReport
-from corkcrank.scheduling.stated_limits import MOST_REPORTED, ReportedLimit
+from corkcrank.scheduling.stated_limits import MAX_REPORTED_LIMITS, ReportedLimit
 
 
 def identity(number: int) -> str:
@@ -89,7 +89,7 @@
 
 def test_limits_of_workers_are_told_also_where_nothing_else_that_is_rare_is() -> None:
     """Fields that tell nothing are left out from the end; what stands behind them is kept."""
-    limits = tuple(ReportedLimit(identity(n), 1.5, 0.25) for n in range(MOST_REPORTED))
+    limits = tuple(ReportedLimit(identity(n), 1.5, 0.25) for n in range(MAX_REPORTED_LIMITS))
     beat = msgspec.structs.replace(heartbeat(2, 2, 2, 0), limits=limits)
     told = decode_heartbeat(encode_heartbeat(beat))
     assert told is not None
--- a/tests/platform/test_callers_leave.py
+++ b/tests/platform/test_callers_leave.py
@@ -124,7 +124,7 @@
         caller.leave(how)
         await until(lambda: model.left == 1)
         await ends_in_time(running)
-        statistics = running.nodes[0].services.worker_statistics.of(model.worker_id)
+        statistics = running.nodes[0].services.worker_statistics.get_or_create(model.worker_id)
         assert not statistics.failures
 
 
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -74,7 +74,7 @@
         assert old is not None
         one.worker_id = "i-another"
         assert (await running.call("/safe/x", method="GET")).status == 503
-        assert node.services.worker_statistics.of(old.worker_id).leaving
+        assert node.services.worker_statistics.get_or_create(old.worker_id).leaving
         one.worker_id = name
         restart(running, one, "plain")
         await until(lambda: known_start(node, name) == SECOND_START)
@@ -94,13 +94,13 @@
         await response.read()
         old = services.mirror.workers.named(engine.worker_id)
         assert old is not None
-        services.worker_statistics.of(old.worker_id).failures.append(0.0)
+        services.worker_statistics.get_or_create(old.worker_id).failures.append(0.0)
         assert old.worker_id in services.engines._memories
         restart(running, engine, "model")
         await until(lambda: known_start(running.nodes[0], engine.worker_id) == SECOND_START)
         new = services.mirror.workers.named(engine.worker_id)
         assert new is not None
-        assert not services.worker_statistics.of(new.worker_id).failures
+        assert not services.worker_statistics.get_or_create(new.worker_id).failures
         assert not services.engines._memories
 
 
--- a/tests/platform/test_settings_watcher.py
+++ b/tests/platform/test_settings_watcher.py
@@ -16,7 +16,7 @@
 )
 from corkcrank.links.decision_log import BoundedOutput, DecisionLog
 from corkcrank.node.process.settings_watcher import SettingsWatcher
-from corkcrank.scheduling.fleet_retry_budget import SAFETY
+from corkcrank.scheduling.fleet_retry_budget import SAFETY_FACTOR
 
 TEXT = """
 [process]
@@ -86,7 +86,7 @@
         bounds = msgspec.structs.replace(node._settings.bounds, retry_allowance=50.0)
         node.take_settings(msgspec.structs.replace(node._settings, bounds=bounds))
         more = node.services.budget("plain").remaining(clock.now(), 1)
-        assert more == pytest.approx(left + SAFETY * 10.0)
+        assert more == pytest.approx(left + SAFETY_FACTOR * 10.0)
         assert (await running.call("/safe/x", method="GET")).status == 200
 
 
--- a/tests/platform/test_worker_health.py
+++ b/tests/platform/test_worker_health.py
@@ -99,7 +99,7 @@
 
 
 def verdict(node: Node, record: WorkerRecord) -> Verdict:
-    return node._worker_statistics.of(record.worker_id).verdict
+    return node._worker_statistics.get_or_create(record.worker_id).verdict
 
 
 async def test_two_gateways_eject_a_worker_by_their_joint_evidence() -> None:
@@ -112,7 +112,7 @@
         await acquainted(first, second)
         record = first.mirror.workers.usable("model")[0]
         record_failures(first, record, 2)
-        assert verdict(first, record) is Verdict.SOUND
+        assert verdict(first, record) is Verdict.HEALTHY
         record_failures(second, record, 2)
         await until(lambda: verdict(first, record) is Verdict.EJECTED)
         await until(lambda: verdict(second, record) is Verdict.EJECTED)
--- a/tests/scheduling/engine_play.py
+++ b/tests/scheduling/engine_play.py
@@ -136,7 +136,7 @@
     def _heartbeat(self) -> None:
         for worker_id, engine in self._engines.items():
             count = len(engine.prompts) + len(engine.streams)
-            self._statistics.of(worker_id).peers_in_flight = count
+            self._statistics.get_or_create(worker_id).peers_in_flight = count
         if self._now < self._seconds:
             self._schedule(self._now + HEARTBEAT_SECONDS, self._heartbeat)
 
--- a/tests/scheduling/limit_play.py
+++ b/tests/scheduling/limit_play.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from corkcrank.scheduling.rate_limits import GrantLog, LocalSlots, stated_limits
+from corkcrank.scheduling.rate_limits import GrantLog, LocalSlots, limits_for_stated_rate
 from corkcrank.scheduling.stated_limits import StatedLimits
 
 WORKER = "w"
@@ -123,9 +123,9 @@
     def admits(self, member: int, now: float) -> bool:
         rate, members, own = self.settings.rate, self.settings.members, now + self.offsets[member]
         slots = self.slots[member]
-        if not slots.open(WORKER, rate, members, own):
+        if not slots.is_open(WORKER, rate, members, own):
             return False
-        slots.note(WORKER, rate, members, own)
+        slots.record_use(WORKER, rate, members, own)
         return True
 
 
@@ -173,9 +173,9 @@
         if now >= found_at and not self.replaced:
             self.owner, self.replaced = GrantLog(), True
         self.messages += 1
-        if not self.owner.fits(WORKER, stated_limits(self.settings.rate), now):
+        if not self.owner.fits(WORKER, limits_for_stated_rate(self.settings.rate), now):
             return False
-        self.owner.note(WORKER, now)
+        self.owner.record_grant(WORKER, now)
         return True
 
 
@@ -216,11 +216,11 @@
     while (now := now + source.expovariate(settings.demand)) < settings.seconds:
         member = source.randrange(settings.members)
         if now >= received_at[member]:
-            limits[member].hear(WORKER, settings.rate, now)
+            limits[member].record_answer(WORKER, settings.rate, now)
         limit_is_known = limits[member].rate(WORKER, now) is not None
         if limit_is_known and not strategy.admits(member, now):
             continue
         outcome.arrivals.append(now + LATENCY_SECONDS)
-        limits[member].hear(WORKER, settings.rate, now + LATENCY_SECONDS)
+        limits[member].record_answer(WORKER, settings.rate, now + LATENCY_SECONDS)
     outcome.messages = strategy.messages
     return outcome
--- a/tests/scheduling/outlier_play.py
+++ b/tests/scheduling/outlier_play.py
@@ -130,7 +130,7 @@
             repeatable=repeatable,
         )
         assert worker is not None
-        statistics = gateway.worker_statistics.of(worker.worker_id)
+        statistics = gateway.worker_statistics.get_or_create(worker.worker_id)
         statistics.in_flight += 1
         if statistics.verdict is Verdict.HALF_OPEN and not repeatable:
             self.result.probes_unrepeatable += 1
@@ -150,12 +150,12 @@
 
     def _end(self, now: float, number: int, worker: WorkerRecord, failed: bool) -> None:
         gateway = self._gateways[number]
-        statistics = gateway.worker_statistics.of(worker.worker_id)
+        statistics = gateway.worker_statistics.get_or_create(worker.worker_id)
         statistics.in_flight -= 1
         if failed:
             statistics.failures.append(now)
         outcome = CallOutcome.FAULT if failed else CallOutcome.SERVED
-        gateway.outcomes.note(worker.worker_id, outcome, now)
+        gateway.outcomes.record_outcome(worker.worker_id, outcome, now)
         self.result.calls.append((now, worker.worker_id, failed))
         if failed:
             self._judge_now(now, number)
@@ -165,11 +165,11 @@
         self._schedule(now + settings.interval, "beat", number)
         if not settings.sends_reports:
             return
-        reports = gateway.outcomes.reported(now)
+        reports = gateway.outcomes.report_for_peers(now)
         self.result.max_reported = max(self.result.max_reported, len(reports))
         for other in self._gateways:
             if other is not gateway:
-                other.outcomes.take(f"g{number}", gateway.zone, reports, now)
+                other.outcomes.apply_peer_report(f"g{number}", gateway.zone, reports, now)
 
     def _judge(self, now: float, number: int) -> None:
         self._schedule(now + JUDGE_SECONDS, "judge", number)
@@ -179,18 +179,18 @@
         gateway = self._gateways[number]
         if not self._settings.detects:
             return
-        if not gateway.outcomes.failing(now) and not gateway.detector.judged():
+        if not gateway.outcomes.failing_workers(now) and not gateway.detector.unhealthy_workers():
             return
-        changes = gateway.detector.judge(self._workers, now)
+        changes = gateway.detector.update_verdicts(self._workers, now)
         for worker in self._workers:
             excess = gateway.detector.excess(worker.worker_id)
-            gateway.worker_statistics.of(worker.worker_id).excess = excess
+            gateway.worker_statistics.get_or_create(worker.worker_id).excess = excess
         for change in changes if self._settings.ejects else ():
             worker_id = change.worker.worker_id
-            gateway.worker_statistics.of(worker_id).verdict = change.after
+            gateway.worker_statistics.get_or_create(worker_id).verdict = change.after
             if change.after is Verdict.EJECTED:
                 self.result.ejections.append((now, number, worker_id))
-            if change.after is Verdict.SOUND:
+            if change.after is Verdict.HEALTHY:
                 self.result.restorations.append((now, number, worker_id))
 
 
--- a/tests/scheduling/test_choices.py
+++ b/tests/scheduling/test_choices.py
@@ -39,7 +39,7 @@
     other = chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 0.0)[-1]
     chooser.sent(other.worker_id, 100_000, PROMPT.shared_parts, 0.0)
     assert chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 1.0)[0] == other
-    worker_statistics.of(other.worker_id).peers_reading = 20_000
+    worker_statistics.get_or_create(other.worker_id).peers_reading = 20_000
     assert chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 1.0)[0] != other
 
 
@@ -53,7 +53,7 @@
 
 def test_excluded_and_leaving_engines_are_not_ranked() -> None:
     worker_statistics = WorkerStatisticsTable()
-    worker_statistics.of("e1").leaving = True
+    worker_statistics.get_or_create("e1").leaving = True
     question = EngineQuestion(PROMPT, excluded=["e0"])
     ranked = EngineChooser().rank(ENGINES, question, worker_statistics, 0.0)
     assert {engine.worker_id for engine in ranked} == {"e2", "e3"}
@@ -63,10 +63,10 @@
 def test_worker_with_fewest_calls_in_flight_is_chosen(loads: list[int], seed: int) -> None:
     worker_statistics = WorkerStatisticsTable()
     for engine, load in zip(ENGINES, loads, strict=True):
-        worker_statistics.of(engine.worker_id).in_flight = load
+        worker_statistics.get_or_create(engine.worker_id).in_flight = load
     chosen = choose_worker(ENGINES, worker_statistics, "a", 0.0, (), random.Random(seed))
     assert chosen is not None
-    assert worker_statistics.of(chosen.worker_id).in_flight == min(loads)
+    assert worker_statistics.get_or_create(chosen.worker_id).in_flight == min(loads)
 
 
 def test_large_results_stay_in_their_zone_unless_the_call_would_be_late() -> None:
--- a/tests/scheduling/test_fleet.py
+++ b/tests/scheduling/test_fleet.py
@@ -154,7 +154,7 @@
     for member, repeat, pause in events:
         now += pause
         if not repeat:
-            budgets[member].record_first(now)
+            budgets[member].record_first_attempt(now)
             firsts.append(now)
         elif budgets[member].try_spend(now, members):
             repeats.append(now)
--- a/tests/scheduling/test_incarnations.py
+++ b/tests/scheduling/test_incarnations.py
@@ -76,8 +76,8 @@
     worker_statistics = WorkerStatisticsTable()
     old = incarnation("a", 1, 5, leaving=False)
     new = incarnation("a", 2, 6, leaving=False)
-    worker_statistics.of(old.worker_id).leaving = True
-    assert not worker_statistics.of(new.worker_id).leaving
+    worker_statistics.get_or_create(old.worker_id).leaving = True
+    assert not worker_statistics.get_or_create(new.worker_id).leaving
 
 
 @given(st.sets(st.tuples(st.sampled_from("ab@."), st.none() | st.integers(1, 99))))
--- a/tests/scheduling/test_rate_limits.py
+++ b/tests/scheduling/test_rate_limits.py
@@ -59,15 +59,15 @@
     def choose_by_grant(self, now: float) -> str | None:
         engine = next((name for name in ENGINES if self.owner.fits(name, LIMITS, now)), None)
         if engine is not None:
-            self.owner.note(engine, now)
+            self.owner.record_grant(engine, now)
         return engine
 
     def choose_by_slot(self, now: float) -> str | None:
         number = self.source.randrange(len(self.slots))
         slots, members, own = self.slots[number], len(self.slots), now + self.offsets[number]
-        engine = next((name for name in ENGINES if slots.open(name, RATE, members, own)), None)
+        engine = next((name for name in ENGINES if slots.is_open(name, RATE, members, own)), None)
         if engine is not None:
-            slots.note(engine, RATE, members, own)
+            slots.record_use(engine, RATE, members, own)
         return engine
 
     def send(self, now: float, choose: Callable[[float], str | None]) -> None:
@@ -123,7 +123,7 @@
     window, granted = GrantLog(), []
     for now in times:
         if window.fits("w", (RateLimit(rate),), now):
-            window.note("w", now)
+            window.record_grant("w", now)
             granted.append(now)
     assert max_in_a_second(granted) <= max(1, int(rate))
 
@@ -134,5 +134,5 @@
     opened = 0
     for number in range(members):
         slots, now = LocalSlots(f"node-{number}"), source.uniform(0, 1e6)
-        opened += slots.open("w", RATE, members, now + 60.0)
+        opened += slots.is_open("w", RATE, members, now + 60.0)
     assert opened <= BOUND
--- a/tests/scheduling/test_stated_limits.py
+++ b/tests/scheduling/test_stated_limits.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from corkcrank.scheduling.stated_limits import (
-    NEWER_SECONDS,
+    MIN_REPORT_LEAD_SECONDS,
     RAMP_SECONDS,
-    SILENT_SECONDS,
+    MAX_SILENCE_SECONDS,
     LimitChange,
     ReportedLimit,
     StatedLimits,
@@ -18,8 +18,8 @@
 
 WORKER = "w"
 GATEWAYS = 3
-TRANSIT_SECONDS = 0.4 * NEWER_SECONDS
-QUIET_SECONDS = SILENT_SECONDS + RAMP_SECONDS
+TRANSIT_SECONDS = 0.4 * MIN_REPORT_LEAD_SECONDS
+QUIET_SECONDS = MAX_SILENCE_SECONDS + RAMP_SECONDS
 
 
 class LimitReports(RuleBasedStateMachine):
@@ -43,12 +43,12 @@
 
     @rule(number=st.integers(0, GATEWAYS - 1))
     def gateway_calls_the_worker(self, number: int) -> None:
-        self.gateways[number].hear(WORKER, self.stated, self.now)
+        self.gateways[number].record_answer(WORKER, self.stated, self.now)
         self.received[number] = True
 
     @rule(number=st.integers(0, GATEWAYS - 1))
     def gateway_sends_reports(self, number: int) -> None:
-        for report in self.gateways[number].reported(self.now):
+        for report in self.gateways[number].reports_for_peers(self.now):
             self.in_transit.append((self.now, report))
 
     @rule(number=st.integers(0, GATEWAYS - 1), choice=st.integers(0, 50))
@@ -58,7 +58,7 @@
         sent_at, report = self.in_transit[choice % len(self.in_transit)]
         # A report in transit for longer than this counts as lost: datagrams are not stored.
         if self.now - sent_at <= TRANSIT_SECONDS:
-            self.gateways[number].take(report, self.now)
+            self.gateways[number].apply_peer_report(report, self.now)
 
     @rule(number=st.integers(0, GATEWAYS - 1))
     def gateway_restarts(self, number: int) -> None:
@@ -96,8 +96,8 @@
 @given(rate=st.floats(0.0, 100.0), steps=st.lists(st.floats(0.0, 0.5), min_size=1, max_size=60))
 def test_the_rate_only_rises_after_the_end_of_a_limit(rate: float, steps: list[float]) -> None:
     limits, now = StatedLimits(), 0.0
-    limits.hear(WORKER, rate, now)
-    limits.hear(WORKER, None, now)
+    limits.record_answer(WORKER, rate, now)
+    limits.record_answer(WORKER, None, now)
     before = rate
     for step in steps:
         now += step
@@ -111,31 +111,34 @@
 
 def test_a_limit_of_zero_lets_a_request_through_after_a_time_without_answers() -> None:
     limits = StatedLimits()
-    limits.hear(WORKER, 0.0, 5.0)
-    assert limits.rate(WORKER, 5.0 + SILENT_SECONDS - 0.1) == 0.0
-    assert limits.rate(WORKER, 5.0 + SILENT_SECONDS) == 0.5
+    limits.record_answer(WORKER, 0.0, 5.0)
+    assert limits.rate(WORKER, 5.0 + MAX_SILENCE_SECONDS - 0.1) == 0.0
+    assert limits.rate(WORKER, 5.0 + MAX_SILENCE_SECONDS) == 0.5
 
 
 def test_reports_that_are_passed_on_do_not_keep_a_limit_alive() -> None:
     """Two gateways keep reporting the limit to each other without a new answer."""
     first, second = StatedLimits(), StatedLimits()
-    first.hear(WORKER, 1.0, 0.0)
+    first.record_answer(WORKER, 1.0, 0.0)
     now = 0.0
     while now < QUIET_SECONDS + 1.0:
         now += 0.25
         for sender, receiver in ((first, second), (second, first)):
-            for report in sender.reported(now):
-                receiver.take(report, now + TRANSIT_SECONDS)
+            for report in sender.reports_for_peers(now):
+                receiver.apply_peer_report(report, now + TRANSIT_SECONDS)
     assert first.rate(WORKER, now) is None
     assert second.rate(WORKER, now) is None
 
 
 def test_an_old_report_of_an_end_does_not_end_a_limit_stated_later() -> None:
     limits = StatedLimits()
-    limits.hear(WORKER, 1.0, 10.0)
-    assert limits.take(ReportedLimit(WORKER, 1.0, age=3.0, ended=True), 11.0) is None
+    limits.record_answer(WORKER, 1.0, 10.0)
+    assert limits.apply_peer_report(ReportedLimit(WORKER, 1.0, age=3.0, ended=True), 11.0) is None
     assert limits.rate(WORKER, 11.0) == 1.0
-    assert limits.take(ReportedLimit(WORKER, 1.0, age=0.1, ended=True), 11.0) is LimitChange.ENDED
+    assert (
+        limits.apply_peer_report(ReportedLimit(WORKER, 1.0, age=0.1, ended=True), 11.0)
+        is LimitChange.ENDED
+    )
 
 
 @pytest.mark.parametrize("value", [math.nan, math.inf, -math.inf, -1.0, 1e300])
