--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -70,7 +70,9 @@
             prompt=request.prompt,
             excluded=request.excluded,
             penalties=self._isolation.penalties(engines, long=request.long),
-            calm_tokens=self._pace.calm_tokens_under(configuration, request.service),
+            max_consecutive_tokens=self._pace.max_consecutive_tokens_for_routes(
+                configuration, request.service
+            ),
             repeatable=request.repeatable,
         )
         now = clock.now()
@@ -86,10 +88,10 @@
 
     def done(self, message: PrefillDone) -> None:
         """Note that a prompt was read, or will not be."""
-        granted = self._grants.done(message.call_id)
+        granted = self._grants.release_grant(message.call_id)
         if granted is not None and message.read:
             tokens, granted_at = granted
-            self._pace.learn(message.service, tokens, clock.now() - granted_at)
+            self._pace.observe_prefill(message.service, tokens, clock.now() - granted_at)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -104,7 +104,9 @@
         # Each gateway gives retry times to its own callers only, but a caller may retry at any
         # gateway, so each hands out its share of the rate.
         rate = sum(grant.rate for grant in grants) / self._fleet.share_members()
-        return LimitVerdict(None, self._return_times.next(call.service, wait, rate, now))
+        return LimitVerdict(
+            None, self._return_times.next_return_seconds(call.service, wait, rate, now)
+        )
 
     async def _request_zone_grant(
         self, zone: str, call: OpaqueCall, candidates: Sequence[WorkerRecord], *, begins: bool
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -201,8 +201,8 @@
                 ServiceBacklog(service, rank, pieces, rate)
                 for service, rank, pieces, rate in self._stage_owner.backlog.all(now)
             ),
-            prefixes=self._recent_prefixes.current(now, self._fleet.interval()),
-            forecast_ratios=self._forecast_bias.reported(now),
+            prefixes=self._recent_prefixes.prefixes_to_report(now, self._fleet.interval()),
+            forecast_ratios=self._forecast_bias.measurements_to_report(now),
             strength=self._fleet.own_strength,
             outcomes=self._health.reported(now),
             trials=self._crash_watch.quarantine.trial_reports(now, self._fleet.interval()),
@@ -237,7 +237,7 @@
         if self._mirror.take_zone_states(heartbeat.zone_states, f"peer {heartbeat.name}"):
             self.pass_on_soon()
         self._loads.take(heartbeat.name, heartbeat.call_loads)
-        self._forecast_bias.take(heartbeat.name, heartbeat.forecast_ratios, now)
+        self._forecast_bias.apply_peer_report(heartbeat.name, heartbeat.forecast_ratios, now)
         self._health.take(heartbeat.name, heartbeat.zone, heartbeat.outcomes)
         self._crash_watch.take_trials(heartbeat.trials)
         self._crash_watch.take(heartbeat.crashes, heartbeat.name)
@@ -268,14 +268,14 @@
         if profile is None or profile.engine is None:
             return
         parts = [PrefixPart(part_id, tokens) for part_id, tokens in prefix.parts]
-        self._engines.sent(prefix.worker_id, profile.engine.cache_tokens, parts, now)
+        self._engines.record_sent(prefix.worker_id, profile.engine.cache_tokens, parts, now)
 
     def _forget_silent(self) -> None:
         now = clock.now()
         for name in self._loads.peers():
             if self._fleet.suspected(name, now):
                 self._loads.forget(name)
-                self._forecast_bias.forget(name)
+                self._forecast_bias.discard_peer(name)
                 self._health.forget(name)
                 member = self._fleet.member(name)
                 age = now - member.heard_at if member is not None else None
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -305,7 +305,7 @@
         listed = {record.worker_id for record in self.mirror.workers.records()}
         self._capacity_log.note()
         self._worker_statistics.retain_only(listed)
-        self._engines.forget_all_but(listed)
+        self._engines.retain_only(listed)
         self._health.forget_all_but(listed)
         self._statements.limits.retain_only(listed)
         self.mirror.warming.forget_all_but(listed)
--- a/src/corkcrank/node/stages/input_releases.py
+++ b/src/corkcrank/node/stages/input_releases.py
@@ -76,9 +76,9 @@
         for service in {inputs.service for inputs in found}:
             delay = self._delays.setdefault(service, FetchDelay())
             if not inputs_missed:
-                delay.found()
+                delay.record_hit()
             elif freed:
-                delay.missed()
+                delay.record_miss()
         return freed
 
     def _free(self, inputs: _Inputs) -> None:
--- a/src/corkcrank/node/stages/stage_placing.py
+++ b/src/corkcrank/node/stages/stage_placing.py
@@ -18,7 +18,7 @@
     later = begun_urgency(urgency)
     followers = [
         (plan.definition(reader), plan.counts[reader])
-        for reader in plan.readers(stage)
+        for reader in plan.reader_stages(stage)
         if plan.counts[reader]
     ]
 
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -19,7 +19,7 @@
 from corkcrank.node.stages.stage_placing import stage_placing, urgency_at
 from corkcrank.node.stages.stage_round import StageRound, gone_detail
 from corkcrank.node.workers.crash_watch import CrashWatch
-from corkcrank.scheduling.call_admission import IDLE_WAIT_SECONDS, OVERRUN_DEVIATIONS
+from corkcrank.scheduling.call_admission import MAX_IDLE_WAIT_SECONDS, MAX_OVERRUN_DEVIATIONS
 from corkcrank.scheduling.stage_plan import StagePlan
 
 MAXIMUM_ROUNDS = 4
@@ -88,7 +88,7 @@
                     LogEvent.STAGES_MADE_AGAIN, call=self.call.call_id, detail=gone.detail
                 )
                 self._free_all()
-                self.plan.redo_all()
+                self.plan.reset_results()
 
     async def _run_once(self) -> tuple[str, ...]:
         tasks: dict[asyncio.Task[tuple[str, ...]], int] = {}
@@ -98,8 +98,8 @@
                     tasks[task] = stage
                 done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
-                    self.plan.finish(tasks.pop(task), task.result())
-                self._free(self.plan.release())
+                    self.plan.record_results(tasks.pop(task), task.result())
+                self._free(self.plan.release_consumed_results())
         finally:
             await _cancel(list(tasks))
         return self.plan.final_handles()
@@ -109,10 +109,10 @@
 
         The longest branch tells what the call will ask for later, so that it counts once.
         """
-        ready = self.plan.ready()
+        ready = self.plan.ready_stages()
         for stage in ready:
-            self.plan.start(stage)
-        leading = self.plan.leading(ready) if ready else None
+            self.plan.record_start(stage)
+        leading = self.plan.stage_with_longest_chain(ready) if ready else None
         begins, self._begun = not self._begun, True
         started = []
         for stage in ready:
@@ -124,13 +124,13 @@
     def _later_pieces(self) -> tuple[FollowingPieces, ...]:
         return tuple(
             FollowingPieces(self.plan.definition(stage).service, self.plan.counts[stage])
-            for stage in self.plan.not_started()
+            for stage in self.plan.unstarted_stages()
         )
 
     def close(self) -> None:
         """Free every result that is still held."""
         self.closed = True
-        self.plan.release_all()
+        self.plan.release_all_results()
         self._free_all()
 
     def _free(self, handles: list[str]) -> None:
@@ -231,7 +231,7 @@
             placing,
             end_by=placing.end_by - self.rest_seconds,
             inputs=self._input_bytes(stage, len(pieces)),
-            reader_zone=self.zone if not self.plan.readers(stage) else "",
+            reader_zone=self.zone if not self.plan.reader_stages(stage) else "",
         )
         choice = self.dispatch.choose(placing, refused)
         if choice is None and refused:
@@ -263,7 +263,7 @@
             stage=stage,
             pieces=pieces,
             key="" if definition.after else self.call.envelope.piece_key,
-            inputs=self.plan.inputs_of(stage),
+            inputs=self.plan.input_handles(stage),
             result_bytes=placing.size,
             urgency=self._urgency(stage),
             start_by=self._start_by(now),
@@ -296,9 +296,9 @@
         only_here = [
             source
             for source in self.plan.definition(stage).after
-            if source in self._short_of_room and self.plan.readers(source) == [stage]
+            if source in self._short_of_room and self.plan.reader_stages(source) == [stage]
         ]
-        handles = [handle for source in only_here for handle in self.plan.handles_of(source)]
+        handles = [handle for source in only_here for handle in self.plan.result_handles(source)]
         return self._held.by_worker(handles)
 
     def _input_bytes(self, stage: int, pieces: int) -> dict[str, float]:
@@ -306,7 +306,7 @@
         inputs: dict[str, float] = {}
         for source in self.plan.definition(stage).after:
             size = pieces * self.plan.definition(source).result_bytes
-            for zone, count in self._held.by_zone(self.plan.handles_of(source)).items():
+            for zone, count in self._held.by_zone(self.plan.result_handles(source)).items():
                 inputs[zone] = inputs.get(zone, 0.0) + count * size
         return inputs
 
@@ -325,9 +325,9 @@
         """
         limit = self.call.objective_at
         if self.started or self.returning:
-            limit += OVERRUN_DEVIATIONS * self.spread_seconds
+            limit += MAX_OVERRUN_DEVIATIONS * self.spread_seconds
         limit = min(limit, self.call.end_at)
-        least = IDLE_WAIT_SECONDS if self.started or self.returning else 0.0
+        least = MAX_IDLE_WAIT_SECONDS if self.started or self.returning else 0.0
         return max(least, limit - now - self.rest_seconds)
 
 
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -78,8 +78,8 @@
         if attempt.outcome is AttemptOutcome.ANSWERED:
             return await self._take_answer(attempt)
         if attempt.lost_inputs:
-            self._services.fetch_delay(self._call.service).missed()
-            self._plan.redo_all()
+            self._services.fetch_delay(self._call.service).record_miss()
+            self._plan.reset_results()
         return RelayEnd.BROKEN
 
     async def _take_answer(self, attempt: Attempt) -> RelayEnd:
@@ -142,8 +142,8 @@
         prompt = self._call.envelope.prompt
         profile = self._services.mirror.profile(self._call.service)
         capacity = profile.engine.cache_tokens if profile and profile.engine else 0
-        self._services.engines.sent(engine.worker_id, capacity, prompt.shared_parts, now)
-        self._services.recent_prefixes.add(engine.worker_id, prompt, now)
+        self._services.engines.record_sent(engine.worker_id, capacity, prompt.shared_parts, now)
+        self._services.recent_prefixes.record_prefix(engine.worker_id, prompt, now)
 
     def _free_after_fetch(self, engine: WorkerRecord) -> asyncio.TimerHandle | None:
         """Free the results once the engine has fetched them, unless it queues calls."""
@@ -161,7 +161,7 @@
             self._services.health.note(engine, CallOutcome.SERVED)
             self._services.prefill_grants.done(self._call, read=True)
             self._services.first_event_times.learn(self._call.service, now - sent_at)
-            self._services.fetch_delay(self._call.service).found()
+            self._services.fetch_delay(self._call.service).record_hit()
             self._services.log.write(
                 LogEvent.FIRST_EVENT,
                 call=self._call.call_id,
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -14,7 +14,7 @@
     AdmissionVerdict,
     EngineForecast,
     StageForecast,
-    admit,
+    decide_admission,
     forecast_chain,
 )
 from corkcrank.scheduling.engine_choice import EngineQuestion
@@ -60,7 +60,9 @@
 
     def _stream_seconds(self) -> float:
         call = self._call
-        return self._services.stream_times.of(call.route.name, call.envelope.prompt.tokens_out)
+        return self._services.stream_times.usual_seconds(
+            call.route.name, call.envelope.prompt.tokens_out
+        )
 
     def log_time_left(self, stages_seconds: float = 0.0) -> None:
         """Log what is foreseen for a call that goes on although this gateway stops."""
@@ -84,7 +86,7 @@
         workers = services.mirror.workers
         engines = workers.usable(call.service)
         stages = [workers.usable(stage.service) for stage in call.route.stages]
-        long = services.prompt_sizes.is_long(call.route.name)
+        long = services.prompt_sizes.has_long_prompts(call.route.name)
         penalties = services.isolation.penalties(engines, long=long)
         limited = services.limits.limited(engines, clock.now())
         if limited:
@@ -99,7 +101,9 @@
             excluded=call.workers_tried,
             weights=engine_weights(engines, stages),
             penalties=penalties,
-            calm_tokens=pace.calm_tokens_under(configuration, call.service),
+            max_consecutive_tokens=pace.max_consecutive_tokens_for_routes(
+                configuration, call.service
+            ),
             repeatable=call.route.idempotent,
         )
         return services.engines.rank(engines, question, services.worker_statistics, clock.now())
@@ -110,12 +114,12 @@
         Nothing has been begun yet. Zones are asked in the order of the engines, so a
         session stays with its engine as long as the zone keeps the objective.
         """
-        if not self._plan.any_work:
+        if not self._plan.has_pieces:
             if not self.ends_before_stop():
                 return _outlasts_drain()
             self.log_time_left()
             return engines[0]
-        correction = self._services.forecast_bias.of(self._call.route.name, clock.now())
+        correction = self._services.forecast_bias.for_route(self._call.route.name, clock.now())
         self.correction = correction.factor
         verdicts: dict[str, AdmissionVerdict] = {}
         self._forecasts.clear()
@@ -144,7 +148,7 @@
         chain = forecast_chain(
             call.route.stages, self._plan.counts, lambda stage: self._forecast(stage, zone)
         )
-        return admit(
+        return decide_admission(
             chain,
             correction,
             self._engine_forecast(),
@@ -155,7 +159,7 @@
 
     def _forecast(self, stage: int, zone: str) -> StageForecast | None:
         """Return the forecast of a stage; zones matter where the engine reads its results."""
-        reader_zone = "" if self._plan.readers(stage) else zone
+        reader_zone = "" if self._plan.reader_stages(stage) else zone
         if (stage, reader_zone) not in self._forecasts:
             self._forecasts[stage, reader_zone] = self._expected(stage, reader_zone)
         return self._forecasts[stage, reader_zone]
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -167,7 +167,7 @@
             return
         seconds = clock.now() - call.first_byte_at
         tokens = call.envelope.prompt.tokens_out
-        self._services.stream_times.learn(call.route.name, tokens, seconds)
+        self._services.stream_times.observe_stream(call.route.name, tokens, seconds)
 
     def _silence_limit(self) -> float:
         if not self._may_move():
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -20,7 +20,7 @@
 from corkcrank.node.streams.stream_admission import StreamAdmission
 from corkcrank.node.streams.stream_answer import StreamAnswer
 from corkcrank.node.streams.stream_relay import RelayEnd
-from corkcrank.scheduling.call_admission import SHORTEST_RETRY
+from corkcrank.scheduling.call_admission import MIN_RETRY_SECONDS
 from corkcrank.scheduling.stage_plan import StagePlan
 
 LEAST_WAIT_SECONDS = 0.02
@@ -29,7 +29,7 @@
 LONGEST_TURN_SECONDS = 1.0
 """Longest wait for a turn at a limited engine after the stages."""
 
-SHORT_RETRY_SECONDS = 3 * SHORTEST_RETRY
+SHORT_RETRY_SECONDS = 3 * MIN_RETRY_SECONDS
 """When to come back if no engine could be had."""
 
 
@@ -70,7 +70,7 @@
         if wait := await self._services.crash_watch.wait_for_verdict(self._call):
             return Refusal.quarantined(wait)
         tokens = self._call.envelope.prompt.tokens_in
-        self._services.prompt_sizes.learn(self._call.route.name, tokens)
+        self._services.prompt_sizes.observe_prompt_size(self._call.route.name, tokens)
         engines = self._admission.rank_engines()
         if not engines:
             return Refusal(ResultCode.NO_BACKEND, retry_after=SHORT_RETRY_SECONDS)
@@ -164,7 +164,7 @@
     async def _ask_turn(self, chosen: WorkerRecord) -> PrefillTurn:
         """Ask the owner of the chosen engine's zone for a turn, then those of other zones."""
         services = self._services
-        long = services.prompt_sizes.is_long(self._call.route.name)
+        long = services.prompt_sizes.has_long_prompts(self._call.route.name)
         turn = await services.prefill_grants.take(self._call, chosen, long=long)
         if turn.engine is None:
             return await self._elsewhere(chosen.zone, turn.wait, long=long)
@@ -218,7 +218,7 @@
         return other
 
     async def _run_stages(self, engine: WorkerRecord) -> tuple[str, ...]:
-        if not self._plan.any_work:
+        if not self._plan.has_pieces:
             return ()
         if self._exchanges.stages is None:
             self._exchanges.stages = StageRun(
@@ -256,10 +256,10 @@
             handles = await stages.run()
         except StageFailedError:
             now = clock.now()
-            bias.learn_failure(route, forecast, now - started, now)
+            bias.observe_failed_call(route, forecast, now - started, now)
             raise
         now = clock.now()
-        bias.learn(route, forecast, now - started, now)
+        bias.observe_call(route, forecast, now - started, now)
         if forecast > 0:
             self._services.metrics.forecast_ratio.observe((now - started) / forecast)
         return handles, now - started
@@ -274,7 +274,7 @@
     def _after_failure(self, engine: WorkerRecord) -> None:
         """Make results again that were freed, before another engine is tried."""
         if self._exchanges.stages is not None and self._exchanges.stages.closed:
-            self._plan.redo_all()
+            self._plan.reset_results()
             self._exchanges.stages.closed = False
         self._services.log.write(
             LogEvent.STREAM_MOVED,
@@ -316,5 +316,5 @@
         if self._services.drain.begun:
             return Refusal.draining(error.detail)
         code = ResultCode.STAGE_NOT_MADE if error.started else ResultCode.CAPACITY_SHORT
-        retry = max(SHORTEST_RETRY, error.retry_after)
+        retry = max(MIN_RETRY_SECONDS, error.retry_after)
         return Refusal(code, error.detail, retry_after=retry)
--- a/src/corkcrank/scheduling/call_admission.py
+++ b/src/corkcrank/scheduling/call_admission.py
@@ -26,15 +26,15 @@
 RESERVED_DEVIATIONS = NormalDist().inv_cdf(MIN_IN_TIME_PROBABILITY)
 """The same threshold in standard deviations of the forecast."""
 
-OVERRUN_DEVIATIONS = 2.0
+MAX_OVERRUN_DEVIATIONS = 2.0
 """Standard deviations of the forecast by which a started call may overrun its objective before it
 is abandoned: one call in 44 ends later than that."""
 
-IDLE_WAIT_SECONDS = 0.05
+MAX_IDLE_WAIT_SECONDS = 0.05
 """Workers count as idle if no stage of the chain has a longer wait than this, in seconds: it is
 shorter than a call at a worker."""
 
-SHORTEST_RETRY = 0.1
+MIN_RETRY_SECONDS = 0.1
 """Minimum retry time for a refused caller, in seconds."""
 
 MAX_RETRY_SHARE = 0.3
@@ -125,12 +125,12 @@
     return replace(last, queued=queued)
 
 
-def admit(
+def decide_admission(
     chain: ChainForecast,
     correction: ForecastCorrection,
     engine: EngineForecast,
     objective_seconds: float,
-    left_seconds: float,
+    remaining_seconds: float,
     *,
     returning: bool,
 ) -> AdmissionVerdict:
@@ -159,11 +159,11 @@
     needed = chain.end * correction.factor + engine.seconds
     spread = math.hypot(correction.spread_seconds(chain.end), engine.spread)
     reserve = 0.0 if returning else RESERVED_DEVIATIONS * spread
-    slack = min(objective_seconds - reserve, left_seconds) - needed
-    if chain.queued <= IDLE_WAIT_SECONDS:
-        slack = max(slack, left_seconds - needed)
+    slack = min(objective_seconds - reserve, remaining_seconds) - needed
+    if chain.queued <= MAX_IDLE_WAIT_SECONDS:
+        slack = max(slack, remaining_seconds - needed)
     if slack >= 0:
         return AdmissionVerdict(True, chain.end, needed, slack, spread)
-    longest = MAX_RETRY_SHARE * left_seconds
-    retry = min(longest, max(SHORTEST_RETRY, -slack))
+    longest = MAX_RETRY_SHARE * remaining_seconds
+    retry = min(longest, max(MIN_RETRY_SECONDS, -slack))
     return AdmissionVerdict(False, chain.end, needed, slack, spread, retry)
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -49,7 +49,7 @@
     used_at: float
 
 
-class PrefixMemory:
+class PrefixCache:
     """Shared parts that one engine's prefix cache probably holds, least recently used first."""
 
     def __init__(self, capacity_tokens: int) -> None:
@@ -99,7 +99,7 @@
     weights: Mapping[str, float] = field(default_factory=dict)
     penalties: Mapping[str, float] = field(default_factory=dict)
     reading: Mapping[str, int] | None = None
-    calm_tokens: float = float("inf")
+    max_consecutive_tokens: float = float("inf")
     repeatable: bool = False
 
 
@@ -107,7 +107,7 @@
     """Ranks engines for prompts and tracks which shared parts were sent to which engine."""
 
     def __init__(self) -> None:
-        self._memories: dict[str, PrefixMemory] = {}
+        self._prefix_caches: dict[str, PrefixCache] = {}
 
     def rank(
         self,
@@ -139,22 +139,24 @@
 
     def unread_tokens(self, worker_id: str, prompt: PromptShape) -> int:
         """Return the number of tokens of a prompt that an engine probably has not cached."""
-        memory = self._memories.get(worker_id)
+        memory = self._prefix_caches.get(worker_id)
         kept = memory.cached_tokens(prompt.shared_parts) if memory is not None else 0
         return max(0, prompt.whole_tokens - kept)
 
-    def sent(self, worker_id: str, capacity: int, parts: Iterable[PrefixPart], now: float) -> None:
+    def record_sent(
+        self, worker_id: str, capacity: int, parts: Iterable[PrefixPart], now: float
+    ) -> None:
         """Record that these shared parts were sent to an engine; ``capacity`` is in tokens."""
-        memory = self._memories.get(worker_id)
+        memory = self._prefix_caches.get(worker_id)
         if memory is None:
-            memory = self._memories[worker_id] = PrefixMemory(capacity)
+            memory = self._prefix_caches[worker_id] = PrefixCache(capacity)
         memory.touch(parts, now)
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove the prefix caches of engines that are no longer listed."""
-        for worker_id in list(self._memories):
+        for worker_id in list(self._prefix_caches):
             if worker_id not in worker_ids:
-                del self._memories[worker_id]
+                del self._prefix_caches[worker_id]
 
     def _cost(
         self,
@@ -173,7 +175,9 @@
         if calls:
             # Protects the engine's streams: two or three prompts read in a row made a tenth of
             # the most urgent route's streams late while other engines were idle.
-            cost += STREAM_DELAY_COST_FACTOR * max(0.0, reading + unread - question.calm_tokens)
+            cost += STREAM_DELAY_COST_FACTOR * max(
+                0.0, reading + unread - question.max_consecutive_tokens
+            )
         if kept:
             cost += REREAD_COST_FACTOR * self._reread_tokens(engine, kept, now)
         cost += FAILURE_COST_TOKENS * statistics.recent_failures(now)
@@ -189,7 +193,7 @@
     ) -> tuple[PrefixPart, ...]:
         """Return the shared parts that any of the engines has read recently."""
         since = now - CACHED_ELSEWHERE_SECONDS
-        found = (self._memories.get(engine.worker_id) for engine in engines)
+        found = (self._prefix_caches.get(engine.worker_id) for engine in engines)
         memories = [memory for memory in found if memory is not None]
         return tuple(
             part
@@ -200,7 +204,7 @@
     def _reread_tokens(self, engine: WorkerRecord, kept: Sequence[PrefixPart], now: float) -> int:
         """Return the tokens that another engine has cached and this one would read again."""
         since = now - CACHED_ELSEWHERE_SECONDS
-        own = self._memories.get(engine.worker_id)
+        own = self._prefix_caches.get(engine.worker_id)
         return sum(
             part.tokens for part in kept if own is None or not own.used_since(part.part_id, since)
         )
--- a/src/corkcrank/scheduling/fetch_delay.py
+++ b/src/corkcrank/scheduling/fetch_delay.py
@@ -23,7 +23,7 @@
 
     seconds: float = INITIAL_DELAY_SECONDS
 
-    def missed(self) -> None:
+    def record_miss(self) -> None:
         """Double the delay after an engine missed a result.
 
         >>> delay = FetchDelay(); delay.missed(); delay.seconds
@@ -31,6 +31,6 @@
         """
         self.seconds = min(MAX_DELAY_SECONDS, 2.0 * self.seconds)
 
-    def found(self) -> None:
+    def record_hit(self) -> None:
         """Shorten the delay after a call that found all its results."""
         self.seconds = max(INITIAL_DELAY_SECONDS, SUCCESS_DECAY_FACTOR * self.seconds)
--- a/src/corkcrank/scheduling/forecast_bias.py
+++ b/src/corkcrank/scheduling/forecast_bias.py
@@ -102,7 +102,7 @@
         self._local: dict[str, _Measurements] = {}
         self._peers: dict[str, dict[str, _Measurements]] = {}
 
-    def learn(self, route: str, forecast: float, measured: float, now: float) -> None:
+    def observe_call(self, route: str, forecast: float, measured: float, now: float) -> None:
         """Record the measured and the forecast seconds of a call's stages.
 
         >>> bias = ForecastBias()
@@ -114,14 +114,14 @@
             return
         low, high = RATIO_BOUNDS
         ratio = min(high, max(low, measured / forecast))
-        error = forecast * (ratio - self.of(route, now).factor)
+        error = forecast * (ratio - self.for_route(route, now).factor)
         self._local.setdefault(route, _Measurements()).add(ratio, error * error / forecast, now)
 
-    def learn_failure(self, route: str, forecast: float, spent: float, now: float) -> None:
+    def observe_failed_call(self, route: str, forecast: float, spent: float, now: float) -> None:
         """Record a call whose stages did not complete, after ``spent`` seconds."""
-        self.learn(route, forecast, max(spent, MIN_FAILED_RATIO * forecast), now)
+        self.observe_call(route, forecast, max(spent, MIN_FAILED_RATIO * forecast), now)
 
-    def reported(self, now: float) -> tuple[ForecastRatio, ...]:
+    def measurements_to_report(self, now: float) -> tuple[ForecastRatio, ...]:
         """Return the local measurements to report to other gateways; removes negligible ones."""
         ratios = []
         for route, own in list(self._local.items()):
@@ -133,7 +133,7 @@
             ratios.append(ForecastRatio(route, *(round(item * WIRE_SCALE) for item in sums)))
         return tuple(ratios)
 
-    def take(self, peer: str, ratios: Iterable[ForecastRatio], now: float) -> None:
+    def apply_peer_report(self, peer: str, ratios: Iterable[ForecastRatio], now: float) -> None:
         """Replace the measurements that a peer reported before.
 
         >>> one, two = ForecastBias(), ForecastBias()
@@ -144,11 +144,11 @@
         """
         self._peers[peer] = {item.route: _decode_ratio(item, now) for item in ratios}
 
-    def forget(self, peer: str) -> None:
+    def discard_peer(self, peer: str) -> None:
         """Remove the measurements of a peer that stopped reporting."""
         self._peers.pop(peer, None)
 
-    def of(self, route: str, now: float) -> ForecastCorrection:
+    def for_route(self, route: str, now: float) -> ForecastCorrection:
         """Return the correction of a route's forecasts."""
         weight = total = PRIOR_WEIGHT
         scatter = 0.0
--- a/src/corkcrank/scheduling/prefill_grants.py
+++ b/src/corkcrank/scheduling/prefill_grants.py
@@ -53,8 +53,8 @@
 
         ``capacity`` is the size of each engine's prefix cache in tokens.
         """
-        self.done(call_id)
-        reading = self.reading(now)
+        self.release_grant(call_id)
+        reading = self.tokens_being_read(now)
         question = replace(question, reading=reading)
         ranked = self._chooser.rank(engines, question, self._worker_statistics, now)
         if not ranked:
@@ -63,10 +63,10 @@
         tokens = self._chooser.unread_tokens(engine.worker_id, question.prompt)
         ahead = reading.get(engine.worker_id, 0)
         self._grants[call_id] = _Grant(engine.worker_id, tokens, ahead, now)
-        self._chooser.sent(engine.worker_id, capacity, question.prompt.shared_parts, now)
+        self._chooser.record_sent(engine.worker_id, capacity, question.prompt.shared_parts, now)
         return engine
 
-    def done(self, call_id: str) -> tuple[int, float] | None:
+    def release_grant(self, call_id: str) -> tuple[int, float] | None:
         """Remove the grant of a prompt that was read, or that will not be read.
 
         Returns the number of tokens that its engine had to read by then and the time of the
@@ -75,7 +75,7 @@
         grant = self._grants.pop(call_id, None)
         return None if grant is None else (grant.tokens_ahead + grant.tokens, grant.granted_at)
 
-    def reading(self, now: float) -> Mapping[str, int]:
+    def tokens_being_read(self, now: float) -> Mapping[str, int]:
         """Return the tokens being read, by engine id; removes expired grants."""
         for call_id in [key for key, grant in self._grants.items() if grant.expires_at <= now]:
             del self._grants[call_id]
--- a/src/corkcrank/scheduling/prefill_isolation.py
+++ b/src/corkcrank/scheduling/prefill_isolation.py
@@ -30,7 +30,7 @@
         self._means: dict[str, float] = {}
         self._overall = 0.0
 
-    def learn(self, route: str, tokens: int) -> None:
+    def observe_prompt_size(self, route: str, tokens: int) -> None:
         """Update the averages with the size of one prompt."""
         known = self._means.get(route, float(tokens))
         self._means[route] = known + SAMPLE_WEIGHT * (tokens - known)
@@ -38,7 +38,7 @@
             self._overall = float(tokens)
         self._overall += SAMPLE_WEIGHT * (tokens - self._overall)
 
-    def is_long(self, route: str) -> bool:
+    def has_long_prompts(self, route: str) -> bool:
         """Return whether a route's prompts are long compared with all calls.
 
         >>> sizes = PromptSizes()
--- a/src/corkcrank/scheduling/prefill_pace.py
+++ b/src/corkcrank/scheduling/prefill_pace.py
@@ -28,7 +28,7 @@
         self._tokens: dict[str, float] = {}
         self._seconds: dict[str, float] = {}
 
-    def learn(self, service: str, tokens: float, seconds: float) -> None:
+    def observe_prefill(self, service: str, tokens: float, seconds: float) -> None:
         """Update the averages: an engine read ``tokens``, queued ones included, in ``seconds``."""
         if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
@@ -37,7 +37,7 @@
         self._tokens[service] = known_tokens + SAMPLE_WEIGHT * (tokens - known_tokens)
         self._seconds[service] = known_seconds + SAMPLE_WEIGHT * (seconds - known_seconds)
 
-    def tokens_a_second(self, service: str) -> float:
+    def tokens_per_second(self, service: str) -> float:
         """Return the prefill throughput of a service's engines.
 
         >>> pace = PrefillPace()
@@ -49,16 +49,18 @@
             return INITIAL_TOKENS_PER_SECOND
         return self._tokens[service] / self._seconds[service]
 
-    def calm_tokens(self, service: str, longest_pause: float | None) -> float:
+    def max_consecutive_tokens(self, service: str, longest_pause: float | None) -> float:
         """Return the number of tokens that an engine may read in a row without late streams.
 
         ``longest_pause`` is in seconds; ``None`` means that no pause makes a stream late.
         """
         if longest_pause is None:
             return float("inf")
-        return MAX_PAUSE_SHARE * longest_pause * self.tokens_a_second(service)
+        return MAX_PAUSE_SHARE * longest_pause * self.tokens_per_second(service)
 
-    def calm_tokens_under(self, configuration: OpaqueConfiguration | None, service: str) -> float:
+    def max_consecutive_tokens_for_routes(
+        self, configuration: OpaqueConfiguration | None, service: str
+    ) -> float:
         """Return the same limit for the shortest pause that the configured routes set."""
         pause = configuration.shortest_pause(service) if configuration is not None else None
-        return self.calm_tokens(service, pause)
+        return self.max_consecutive_tokens(service, pause)
--- a/src/corkcrank/scheduling/recent_prefixes.py
+++ b/src/corkcrank/scheduling/recent_prefixes.py
@@ -24,13 +24,13 @@
     def __init__(self) -> None:
         self._sent: deque[tuple[float, SentPrefix]] = deque(maxlen=MAX_REPORTED_PREFIXES)
 
-    def add(self, worker_id: str, prompt: PromptShape, now: float) -> None:
+    def record_prefix(self, worker_id: str, prompt: PromptShape, now: float) -> None:
         """Record a prompt that was sent to an engine."""
         parts = tuple((part.part_id, part.tokens) for part in prompt.shared_parts)
         if parts:
             self._sent.append((now, SentPrefix(worker_id, parts)))
 
-    def current(self, now: float, interval: float) -> tuple[SentPrefix, ...]:
+    def prefixes_to_report(self, now: float, interval: float) -> tuple[SentPrefix, ...]:
         """Return the prefixes to report now; ``interval`` is the heartbeat interval in seconds.
 
         >>> from corkcrank.contracts.opaque_call import PrefixPart
--- a/src/corkcrank/scheduling/return_times.py
+++ b/src/corkcrank/scheduling/return_times.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self._next: dict[str, float] = {}
 
-    def next(self, key: str, wait: float, rate: float, now: float) -> float:
+    def next_return_seconds(self, key: str, wait: float, rate: float, now: float) -> float:
         """Assign the next slot to a caller and return the seconds until then.
 
         ``wait`` is the time in seconds until the group's next slot, ``rate`` its slots a second.
--- a/src/corkcrank/scheduling/stage_plan.py
+++ b/src/corkcrank/scheduling/stage_plan.py
@@ -44,15 +44,15 @@
         return len(self._handles) == len(self._stages)
 
     @property
-    def any_work(self) -> bool:
+    def has_pieces(self) -> bool:
         """Return whether any stage has pieces to run."""
         return any(self.counts)
 
-    def unfinished(self) -> list[int]:
+    def unfinished_stages(self) -> list[int]:
         """Return the indexes of the stages without results, in order."""
         return [number for number in range(len(self._stages)) if number not in self._handles]
 
-    def ready(self) -> list[int]:
+    def ready_stages(self) -> list[int]:
         """Return the indexes of the stages to start now.
 
         >>> chain = (StageDefinition("a"), StageDefinition("b"), StageDefinition("c", (1,)),
@@ -63,33 +63,33 @@
         >>> plan.start(1); plan.finish(1, ("h1",)); plan.ready()
         [0, 2]
         """
-        waiting = self.not_started()
+        waiting = self.unstarted_stages()
         if not waiting:
             return []
-        longest = max(self._depths[number] for number in self.unfinished())
+        longest = max(self._depths[number] for number in self.unfinished_stages())
         return [
             number
             for number in waiting
             if self._inputs_done(number) and self._depths[number] + MAX_LEAD_STAGES >= longest
         ]
 
-    def leading(self, stages: Sequence[int]) -> int:
+    def stage_with_longest_chain(self, stages: Sequence[int]) -> int:
         """Return the one of some stages with the longest chain of dependent stages."""
         return max(stages, key=lambda number: self._depths[number])
 
-    def not_started(self) -> list[int]:
+    def unstarted_stages(self) -> list[int]:
         """Return the indexes of the unfinished stages that were not started, in order."""
-        return [number for number in self.unfinished() if number not in self._started]
+        return [number for number in self.unfinished_stages() if number not in self._started]
 
-    def start(self, stage: int) -> None:
+    def record_start(self, stage: int) -> None:
         """Record that the pieces of a stage were requested."""
         self._started.add(stage)
 
-    def finish(self, stage: int, handles: Sequence[str]) -> None:
+    def record_results(self, stage: int, handles: Sequence[str]) -> None:
         """Record the result handles of a stage, in the order of its pieces."""
         self._handles[stage] = tuple(handles)
 
-    def redo_all(self) -> None:
+    def reset_results(self) -> None:
         """Remove every result, so that all stages with pieces are run again."""
         for number, count in enumerate(self.counts):
             if count:
@@ -97,17 +97,17 @@
                 self._started.discard(number)
                 self._freed.discard(number)
 
-    def inputs_of(self, stage: int) -> tuple[str, ...]:
+    def input_handles(self, stage: int) -> tuple[str, ...]:
         """Return the handles of the results that every piece of a stage reads."""
         return tuple(
             handle for source in self._stages[stage].after for handle in self._handles[source]
         )
 
-    def handles_of(self, stage: int) -> tuple[str, ...]:
+    def result_handles(self, stage: int) -> tuple[str, ...]:
         """Return the result handles of a stage; empty before it has ended."""
         return self._handles.get(stage, ())
 
-    def readers(self, stage: int) -> list[int]:
+    def reader_stages(self, stage: int) -> list[int]:
         """Return the stages that read a stage's results; empty if the call itself reads them."""
         return self._readers[stage]
 
@@ -120,7 +120,7 @@
             for handle in self._handles.get(number, ())
         )
 
-    def release(self) -> list[str]:
+    def release_consumed_results(self) -> list[str]:
         """Return the handles of results whose last reader has ended, each handle once."""
         released: list[str] = []
         for number, handles in self._handles.items():
@@ -132,7 +132,7 @@
                 released.extend(handles)
         return released
 
-    def release_all(self) -> list[str]:
+    def release_all_results(self) -> list[str]:
         """Return the handles of all results not released yet, for use when the call has ended."""
         released = [
             handle
--- a/src/corkcrank/scheduling/stream_times.py
+++ b/src/corkcrank/scheduling/stream_times.py
@@ -23,7 +23,7 @@
 
     _token_seconds: dict[str, float] = field(default_factory=dict)
 
-    def learn(self, route: str, tokens_out: int, seconds: float) -> None:
+    def observe_stream(self, route: str, tokens_out: int, seconds: float) -> None:
         """Update the estimate with the time that a complete stream took after its first event.
 
         >>> times = StreamTimes()
@@ -35,7 +35,7 @@
         known = self._token_seconds.get(route, measured)
         self._token_seconds[route] = known + SAMPLE_WEIGHT * (measured - known)
 
-    def of(self, route: str, tokens_out: int) -> float:
+    def usual_seconds(self, route: str, tokens_out: int) -> float:
         """Return the usual seconds from the first event of a route's stream to its end."""
         pace = self._token_seconds.get(route, DEFAULT_TOKEN_SECONDS)
         return pace * max(1, tokens_out)
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -95,13 +95,13 @@
         old = services.mirror.workers.named(engine.worker_id)
         assert old is not None
         services.worker_statistics.get_or_create(old.worker_id).failures.append(0.0)
-        assert old.worker_id in services.engines._memories
+        assert old.worker_id in services.engines._prefix_caches
         restart(running, engine, "model")
         await until(lambda: known_start(running.nodes[0], engine.worker_id) == SECOND_START)
         new = services.mirror.workers.named(engine.worker_id)
         assert new is not None
         assert not services.worker_statistics.get_or_create(new.worker_id).failures
-        assert not services.engines._memories
+        assert not services.engines._prefix_caches
 
 
 async def test_room_and_handles_of_an_incarnation_are_removed_with_it() -> None:
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -209,7 +209,7 @@
     served = {"m": (StandinWorker(events=4), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
         node = running.nodes[0]
-        node.services.stream_times.learn("staged", 4, 40.0)
+        node.services.stream_times.observe_stream("staged", 4, 40.0)
         call = asyncio.create_task(running.call("/staged/x", headers=PIECES))
         await until(lambda: bool(encode.calls))
         stopped = asyncio.create_task(node.stop())
--- a/tests/scheduling/engine_play.py
+++ b/tests/scheduling/engine_play.py
@@ -15,7 +15,7 @@
 
 from corkcrank.contracts.opaque_call import PrefixPart, PromptShape
 from corkcrank.contracts.worker_records import WorkerRecord
-from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion, PrefixMemory
+from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion, PrefixCache
 from corkcrank.scheduling.prefill_grants import PrefillGrants
 from corkcrank.scheduling.prefill_isolation import PrefillIsolation
 from corkcrank.scheduling.prefill_pace import PrefillPace
@@ -81,7 +81,7 @@
 
 @dataclass
 class _Engine:
-    memory: PrefixMemory = field(default_factory=lambda: PrefixMemory(CACHE_TOKENS))
+    memory: PrefixCache = field(default_factory=lambda: PrefixCache(CACHE_TOKENS))
     prompts: deque[_Prompt] = field(default_factory=deque)
     streams: list[Call] = field(default_factory=list)
     busy: bool = False
@@ -147,7 +147,7 @@
         question = EngineQuestion(
             prompt=prompt,
             penalties=self._isolation.penalties(self._records, long=kind.long),
-            calm_tokens=self.pace.calm_tokens(SERVICE, pause),
+            max_consecutive_tokens=self.pace.max_consecutive_tokens(SERVICE, pause),
         )
         number = len(self.calls)
         granted = self._grants.grant(str(number), self._records, question, CACHE_TOKENS, self._now)
@@ -225,10 +225,10 @@
     def _begin_stream(self, engine: _Engine, call: Call) -> None:
         call.last_event_at = self._now
         engine.streams.append(call)
-        granted = self._grants.done(str(call.number))
+        granted = self._grants.release_grant(str(call.number))
         if granted is not None:
             tokens, granted_at = granted
-            self.pace.learn(SERVICE, tokens, self._now - granted_at)
+            self.pace.observe_prefill(SERVICE, tokens, self._now - granted_at)
 
 
 def with_rate(kind: Kind, factor: float) -> Kind:
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -34,7 +34,7 @@
 from corkcrank.node.streams.engine_exchange import EngineExchanges
 from corkcrank.node.streams.stream_answer import StreamAnswer
 from corkcrank.node.streams.stream_relay import RelayEnd
-from corkcrank.scheduling.engine_choice import PrefixMemory
+from corkcrank.scheduling.engine_choice import PrefixCache
 from corkcrank.scheduling.stage_queue import StageCall
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
     """An engine that reads prompts one after the other and caches their shared parts."""
 
     def __init__(self, capacity_tokens: int) -> None:
-        self._memory = PrefixMemory(capacity_tokens)
+        self._memory = PrefixCache(capacity_tokens)
         self._read_until = 0.0
 
     def read(self, prompt: PromptShape) -> float:
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from corkcrank.scheduling.call_admission import (
-    IDLE_WAIT_SECONDS,
+    MAX_IDLE_WAIT_SECONDS,
     MIN_IN_TIME_PROBABILITY,
     RESERVED_DEVIATIONS,
     ChainForecast,
     EngineForecast,
-    admit,
+    decide_admission,
 )
 from corkcrank.scheduling.forecast_bias import (
     PRIOR_VARIANCE,
@@ -37,10 +37,10 @@
 def test_late_calls_are_admitted_only_while_idle_and_returning_calls_need_no_reserve(
     end: float, correction: ForecastCorrection, engine: EngineForecast, idle: bool
 ) -> None:
-    wait = 2 * IDLE_WAIT_SECONDS
+    wait = 2 * MAX_IDLE_WAIT_SECONDS
     chain = ChainForecast(end, wait, 0.0 if idle else wait)
     first, again = (
-        admit(chain, correction, engine, OBJECTIVE, LEFT, returning=returning)
+        decide_admission(chain, correction, engine, OBJECTIVE, LEFT, returning=returning)
         for returning in (False, True)
     )
     needed = end * correction.factor + engine.seconds
@@ -58,7 +58,9 @@
     def admitted(seconds: float, spread: float) -> bool:
         chain = ChainForecast(seconds, seconds, seconds)
         engine = EngineForecast(0.3, spread)
-        return admit(chain, correction, engine, OBJECTIVE, LEFT, returning=False).admitted
+        return decide_admission(
+            chain, correction, engine, OBJECTIVE, LEFT, returning=False
+        ).admitted
 
     assert admitted(end, 0.1) >= admitted(end + more, 0.1)
     assert admitted(end, 0.1) >= admitted(end, 0.1 + more)
@@ -84,16 +86,16 @@
             now = number * 0.05
             forecast = source.uniform(0.5, 1.5)
             measured = slowness * forecast + source.gauss(0.0, error * forecast**0.5)
-            correction = bias.of("r", now)
+            correction = bias.for_route("r", now)
             reserve = RESERVED_DEVIATIONS * correction.spread_seconds(forecast)
             if number > 100:
                 in_time.append(measured <= forecast * correction.factor + reserve)
-            bias.learn("r", forecast, measured, now)
+            bias.observe_call("r", forecast, measured, now)
     assert abs(mean(in_time) - MIN_IN_TIME_PROBABILITY) < 0.1
 
 
 def test_prior_spread_is_that_of_a_wait_uniform_over_one_call() -> None:
-    spread = ForecastBias().of("r", 0.0).spread_seconds(2.0)
+    spread = ForecastBias().for_route("r", 0.0).spread_seconds(2.0)
     assert spread == pytest.approx(2.0 * PRIOR_VARIANCE**0.5)
 
 
@@ -113,20 +115,22 @@
 def test_correction_from_any_peer_reports_decays(ratios: list[ForecastRatio], later: float) -> None:
     bias = ForecastBias()
     for number, ratio in enumerate(ratios):
-        bias.take(str(number), (ratio,), 0.0)
-    now, then = bias.of("r", 0.0), bias.of("r", later)
+        bias.apply_peer_report(str(number), (ratio,), 0.0)
+    now, then = bias.for_route("r", 0.0), bias.for_route("r", later)
     assert now.spread_seconds(1.0) >= 0
     assert then.prior_share >= now.prior_share
-    assert bias.of("r", 1000.0).factor == pytest.approx(1.0)
+    assert bias.for_route("r", 1000.0).factor == pytest.approx(1.0)
 
 
 def test_reported_scatter_reaches_peers() -> None:
     one, two = ForecastBias(), ForecastBias()
     source = random.Random(1)
     for _ in range(50):
-        one.learn("r", 1.0, source.choice((0.8, 1.8)), 0.0)
-    two.take("one", one.reported(0.0), 0.0)
-    assert two.of("r", 0.0).scatter == pytest.approx(one.of("r", 0.0).scatter, abs=0.01)
+        one.observe_call("r", 1.0, source.choice((0.8, 1.8)), 0.0)
+    two.apply_peer_report("one", one.measurements_to_report(0.0), 0.0)
+    assert two.for_route("r", 0.0).scatter == pytest.approx(
+        one.for_route("r", 0.0).scatter, abs=0.01
+    )
 
 
 def test_deadline_applies_while_nothing_is_queued_whatever_is_forecast_to_arrive() -> None:
@@ -134,7 +138,11 @@
     for returning in (False, True):
         chain = ChainForecast(end=0.8, waiting=0.08, queued=0.0)
         correction = ForecastCorrection(factor=1.5)
-        late = admit(chain, correction, EngineForecast(0.3), 0.4, LEFT, returning=returning)
+        late = decide_admission(
+            chain, correction, EngineForecast(0.3), 0.4, LEFT, returning=returning
+        )
         assert late.admitted
-        hopeless = admit(chain, correction, EngineForecast(0.3), 0.4, 1.0, returning=returning)
+        hopeless = decide_admission(
+            chain, correction, EngineForecast(0.3), 0.4, 1.0, returning=returning
+        )
         assert not hopeless.admitted
--- a/tests/scheduling/test_choices.py
+++ b/tests/scheduling/test_choices.py
@@ -10,8 +10,13 @@
 from corkcrank.contracts.urgency import Urgency
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.node.streams.events import EventReader
-from corkcrank.scheduling.call_admission import EngineForecast, StageForecast, admit, forecast_chain
-from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion, PrefixMemory
+from corkcrank.scheduling.call_admission import (
+    EngineForecast,
+    StageForecast,
+    decide_admission,
+    forecast_chain,
+)
+from corkcrank.scheduling.engine_choice import EngineChooser, EngineQuestion, PrefixCache
 from corkcrank.scheduling.forecast_bias import ForecastCorrection
 from corkcrank.scheduling.stage_choice import StagePlacing, choose_stage_worker
 from corkcrank.scheduling.stage_queue import QueueForecast
@@ -37,7 +42,7 @@
 def test_engine_with_cached_prefix_is_preferred_until_its_prefill_queue_is_long() -> None:
     chooser, worker_statistics = EngineChooser(), WorkerStatisticsTable()
     other = chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 0.0)[-1]
-    chooser.sent(other.worker_id, 100_000, PROMPT.shared_parts, 0.0)
+    chooser.record_sent(other.worker_id, 100_000, PROMPT.shared_parts, 0.0)
     assert chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 1.0)[0] == other
     worker_statistics.get_or_create(other.worker_id).peers_reading = 20_000
     assert chooser.rank(ENGINES, EngineQuestion(PROMPT), worker_statistics, 1.0)[0] != other
@@ -45,9 +50,9 @@
 
 def test_evicted_parts_do_not_count_as_cached() -> None:
     chooser = EngineChooser()
-    chooser.sent("e0", 2_600, PROMPT.shared_parts, 0.0)
+    chooser.record_sent("e0", 2_600, PROMPT.shared_parts, 0.0)
     assert chooser.unread_tokens("e0", PROMPT) == 500
-    chooser.sent("e0", 2_600, [PrefixPart("x", 2_000)], 1.0)
+    chooser.record_sent("e0", 2_600, [PrefixPart("x", 2_000)], 1.0)
     assert chooser.unread_tokens("e0", PROMPT) == 3_000
 
 
@@ -104,7 +109,7 @@
 
 def test_chain_without_a_worker_is_never_admitted() -> None:
     chain = forecast_chain((StageDefinition("a"),), (1,), lambda stage: None)
-    verdict = admit(chain, CORRECTION, ENGINE, 1.0, 5.0, returning=True)
+    verdict = decide_admission(chain, CORRECTION, ENGINE, 1.0, 5.0, returning=True)
     assert not verdict.admitted
     assert 0 < verdict.retry_after <= 5.0 / 3
 
@@ -114,7 +119,7 @@
     chain = forecast_chain(
         (StageDefinition("a"),), (1,), lambda stage: StageForecast(needed, needed, needed)
     )
-    verdict = admit(chain, CORRECTION, ENGINE, left / 2, left, returning=False)
+    verdict = decide_admission(chain, CORRECTION, ENGINE, left / 2, left, returning=False)
     assert verdict.admitted or 0 < verdict.retry_after <= max(0.1, left / 3)
 
 
@@ -136,7 +141,7 @@
     assert [event.event_id for event in events] == list(range(len(data)))
 
 
-class CountingPrefixMemory(PrefixMemory):
+class CountingPrefixMemory(PrefixCache):
     """A prefix memory that counts the calls of ``used_since``."""
 
     lookups = 0
@@ -152,7 +157,7 @@
         engines = [WorkerRecord(f"e{item}", "m", "", "z") for item in range(number)]
         chooser = EngineChooser()
         for engine in engines:
-            chooser._memories[engine.worker_id] = CountingPrefixMemory(10_000)
+            chooser._prefix_caches[engine.worker_id] = CountingPrefixMemory(10_000)
         CountingPrefixMemory.lookups = 0
         question = EngineQuestion(prompt=PromptShape(parts=parts))
         assert len(chooser.rank(engines, question, WorkerStatisticsTable(), 1.0)) == number
--- a/tests/scheduling/test_engine_play.py
+++ b/tests/scheduling/test_engine_play.py
@@ -53,7 +53,7 @@
 def test_every_call_ends_and_throughput_is_measured() -> None:
     one = simulate(1, 18, 1.0, (DRAFTS, QUESTIONS, TALKS))
     assert all(call.ended for call in one.calls)
-    assert 0.5 * TOKENS_PER_SECOND < one.pace.tokens_a_second("llm") < TOKENS_PER_SECOND
+    assert 0.5 * TOKENS_PER_SECOND < one.pace.tokens_per_second("llm") < TOKENS_PER_SECOND
 
 
 def test_a_simulation_repeats_for_a_seed() -> None:
--- a/tests/scheduling/test_prefill_grants.py
+++ b/tests/scheduling/test_prefill_grants.py
@@ -38,24 +38,24 @@
 def test_a_session_returns_to_its_engine_after_its_prompt_was_read() -> None:
     owner = grants()
     first = granted(owner, "one", "session", 1.0)
-    owner.done("one")
+    owner.release_grant("one")
     for number in range(3):
         granted(owner, f"other{number}", f"s{number}", 1.1)
-        owner.done(f"other{number}")
+        owner.release_grant(f"other{number}")
     assert granted(owner, "two", "session", 1.5) == first
 
 
 def test_a_grant_without_a_completion_report_expires() -> None:
     owner = grants()
     granted(owner, "lost", "s", 1.0)
-    assert sum(owner.reading(1.1).values()) > 0
-    assert not owner.reading(1.0 + MAX_PREFILL_SECONDS)
+    assert sum(owner.tokens_being_read(1.1).values()) > 0
+    assert not owner.tokens_being_read(1.0 + MAX_PREFILL_SECONDS)
 
 
 def test_no_grant_without_engines() -> None:
     owner = grants()
     assert owner.grant("call", [], EngineQuestion(prompt("s")), CACHE_TOKENS, 1.0) is None
-    assert not owner.reading(1.0)
+    assert not owner.tokens_being_read(1.0)
 
 
 @given(
@@ -72,12 +72,12 @@
     for call_id, done, pause in steps:
         now += pause
         if done:
-            owner.done(call_id)
+            owner.release_grant(call_id)
             open_grants.pop(call_id, None)
         else:
             granted(owner, call_id, call_id, now)
             open_grants[call_id] = now + MAX_PREFILL_SECONDS
         waiting = [key for key, expires_at in open_grants.items() if expires_at > now]
-        reading = owner.reading(now)
+        reading = owner.tokens_being_read(now)
         assert bool(reading) == bool(waiting)
         assert sum(reading.values()) <= 6_000 * len(waiting)
--- a/tests/scheduling/test_stage_plan.py
+++ b/tests/scheduling/test_stage_plan.py
@@ -26,25 +26,25 @@
     freed: list[str] = []
     produced: list[str] = []
     while not plan.complete:
-        for stage in plan.ready():
+        for stage in plan.ready_stages():
             assert all(
                 source in stages_of(produced) or counts[source] == 0
                 for source in stages[stage].after
             )
-            plan.start(stage)
+            plan.record_start(stage)
             running.append(stage)
         assert running, "no stage is running or ready, but the plan is not complete"
         stage = running.pop(order.randrange(len(running)))
         handles = tuple(f"{stage}/{piece}" for piece in range(counts[stage]))
-        inputs = plan.inputs_of(stage)
+        inputs = plan.input_handles(stage)
         assert not set(inputs) & set(freed), "a result was freed before its reader read it"
         assert len(inputs) == sum(counts[source] for source in stages[stage].after)
-        plan.finish(stage, handles)
+        plan.record_results(stage, handles)
         produced.extend(handles)
-        freed.extend(plan.release())
+        freed.extend(plan.release_consumed_results())
     finals = plan.final_handles()
     assert not set(finals) & set(freed)
-    freed.extend(plan.release_all())
+    freed.extend(plan.release_all_results())
     assert sorted(freed) == sorted(produced)
 
 
@@ -55,10 +55,10 @@
 def test_all_stages_rerun_after_their_results_were_freed() -> None:
     plan = StagePlan((StageDefinition("a"), StageDefinition("b", (0,))), (1, 1))
     for stage, handle in ((0, "x"), (1, "y")):
-        assert plan.ready() == [stage]
-        plan.start(stage)
-        plan.finish(stage, (handle,))
-        plan.release()
-    plan.release_all()
-    plan.redo_all()
-    assert plan.ready() == [0]
+        assert plan.ready_stages() == [stage]
+        plan.record_start(stage)
+        plan.record_results(stage, (handle,))
+        plan.release_consumed_results()
+    plan.release_all_results()
+    plan.reset_results()
+    assert plan.ready_stages() == [0]
