--- a/src/corkcrank/node/calls/attempts.py
+++ b/src/corkcrank/node/calls/attempts.py
@@ -80,7 +80,7 @@
     The call counts as perhaps run from before its first byte, so that it does if this is
     cancelled, until the worker is known not to have begun it.
     """
-    services.crash_watch.note_sent(call)
+    services.crash_watch.record_sent(call)
     remaining = call.end_at - clock.now()
     headers = services.ports.calls.worker_headers(call, worker, remaining, inputs, resume_after)
     begun_before = call.may_have_run
@@ -96,7 +96,7 @@
         remaining=round(remaining, 3),
         attempt=len(call.workers_tried),
     )
-    response = await services.client.open(
+    response = await services.client.send_request(
         call.method,
         worker.address,
         call.target,
@@ -130,7 +130,7 @@
         response.close()
         return Attempt(worker, AttemptOutcome.LOST, "answer to another request")
     if head.call_id:
-        services.statements.hear(worker, response.status, response.headers)
+        services.statements.record_response(worker, response.status, response.headers)
     if head.not_run or response.status == MISDIRECTED_STATUS:
         _note_leaving(services, worker, response)
         status = response.status
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -14,7 +14,7 @@
 from corkcrank.node.calls.attempts import Attempt, AttemptOutcome, attempt_call
 from corkcrank.node.calls.services import PLAIN_SECONDS, CallServices
 from corkcrank.node.calls.worker_answers import read_whole_answer
-from corkcrank.node.workers.worker_health import FAULT_STATUS
+from corkcrank.node.workers.worker_health import MIN_FAULT_STATUS
 from corkcrank.scheduling.worker_choice import rank_workers
 
 SILENCE_FACTOR = 5.0
@@ -68,7 +68,7 @@
             if now >= call.end_at:
                 break
             worker = await self._choose(now)
-            if worker is None or self._services.crash_watch.quarantine_left(call):
+            if worker is None or self._services.crash_watch.quarantine_seconds_left(call):
                 break
             if number == 0:
                 self._services.budget(service).record_first_attempt(now)
@@ -100,7 +100,7 @@
         if not ranked or ranked[0] not in limited:
             return ranked[0] if ranked else None
         candidates = [worker for worker in ranked if worker in limited]
-        verdict = await self._services.limit_grants.take(self._call, candidates)
+        verdict = await self._services.limit_grants.request_grant(self._call, candidates)
         if verdict.worker is not None:
             return verdict.worker
         self._limit_wait = verdict.wait
@@ -148,9 +148,9 @@
         if response is None:
             self._services.note_broken(call, worker)
             return None
-        self._services.health.answered(worker, attempt.status)
-        self._services.crash_watch.note_served(call)
-        if attempt.status >= FAULT_STATUS:
+        self._services.health.record_response(worker, attempt.status)
+        self._services.crash_watch.record_completed(call)
+        if attempt.status >= MIN_FAULT_STATUS:
             statistics = self._services.worker_statistics.get_or_create(worker.worker_id)
             statistics.failures.append(clock.now())
             if self._repeatable_elsewhere():
@@ -192,7 +192,7 @@
             return Refusal(ResultCode.DEADLINE_EXCEEDED)
         if call.may_have_run:
             return Refusal(ResultCode.WORKER_LOST)
-        if wait := self._services.crash_watch.quarantine_left(call):
+        if wait := self._services.crash_watch.quarantine_seconds_left(call):
             return Refusal.quarantined(wait)
         if self._limit_wait is not None:
             return Refusal(ResultCode.WORKERS_LIMITED, retry_after=self._limit_wait)
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -154,9 +154,9 @@
         worker may have had it at all: one that never had a call has not ended under it.
         """
         if clock.now() < call.end_at:
-            self.health.note(worker, CallOutcome.CONNECTION_FAILED)
+            self.health.record_outcome(worker, CallOutcome.CONNECTION_FAILED)
         if sent and not silent:
-            self.crash_watch.note_broken(call, worker, progressed=progressed)
+            self.crash_watch.record_connection_failure(call, worker, progressed=progressed)
 
     def could_repeat(self, service: str) -> bool:
         """Return whether a repeat could be spent now."""
--- a/src/corkcrank/node/calls/worker_answers.py
+++ b/src/corkcrank/node/calls/worker_answers.py
@@ -18,7 +18,7 @@
     upstream = attempt.response
     assert upstream is not None
     try:
-        body = await services.client.read(upstream, seconds, silence)
+        body = await services.client.read_body(upstream, seconds, silence)
     except asyncio.CancelledError:
         attempt.close()
         raise
--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -61,7 +61,7 @@
         A limited one gets what it takes and no more, however much it would be preferred: a zone
         whose engines warm up together would be down again at once.
         """
-        self._statements.take(request.limits, "asker")
+        self._statements.apply_reports(request.limits, "asker")
         configuration = self._mirror.configuration
         profile = self._mirror.profile(request.service)
         capacity = profile.engine.cache_tokens if profile and profile.engine else 0
@@ -77,13 +77,15 @@
         )
         now = clock.now()
         self.use.note(now)
-        waits = {engine.worker_id: self._limits.wait(engine, now) for engine in engines}
+        waits = {
+            engine.worker_id: self._limits.seconds_until_grant(engine, now) for engine in engines
+        }
         taking = [engine for engine in engines if waits[engine.worker_id] <= 0]
         engine = self._grants.grant(request.call_id, taking, question, capacity, now)
         if engine is None:
             held_back = [wait for wait in waits.values() if wait > 0]
             return PrefillGrant("", bool(held_back), min(held_back, default=0.0))
-        self._limits.note_granted(engine, now)
+        self._limits.record_grant(engine, now)
         return PrefillGrant(engine.worker_id)
 
     def done(self, message: PrefillDone) -> None:
@@ -172,7 +174,7 @@
         now = clock.now()
         if not self._limits.may_send(engine, now):
             return None
-        self._limits.note_sent(engine, now)
+        self._limits.record_sent(engine, now)
         return engine
 
     def _told(self, engines: Collection[WorkerRecord], now: float) -> tuple[ReportedLimit, ...]:
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -35,17 +35,17 @@
         self._limits = limits
         self._statements = statements
 
-    def grant(self, request: LimitGrantRequest) -> LimitGrant:
+    def grant_request(self, request: LimitGrantRequest) -> LimitGrant:
         """Grant a request to the first candidate whose limit allows one more now."""
         now = clock.now()
-        self._statements.take(request.limits, "asker")
+        self._statements.apply_reports(request.limits, "asker")
         found = (self._mirror.workers.get(worker_id) for worker_id in request.workers)
         workers = [worker for worker in found if worker is not None]
         begins = request.begins
-        waits = [self._limits.wait(worker, now, begins=begins) for worker in workers]
+        waits = [self._limits.seconds_until_grant(worker, now, begins=begins) for worker in workers]
         for worker, wait in zip(workers, waits, strict=True):
             if wait <= 0:
-                self._limits.note_granted(worker, now, begins=begins)
+                self._limits.record_grant(worker, now, begins=begins)
                 return LimitGrant(worker.worker_id)
         rates = [self._limits.rate(worker, now) or 0.0 for worker in workers]
         return LimitGrant("", min(waits, default=0.0), sum(rates))
@@ -83,7 +83,7 @@
         self._return_times = ReturnTimes()
         self.on_silence: Callable[[str], None] = lambda owner: None
 
-    async def take(
+    async def request_grant(
         self, call: OpaqueCall, workers: Sequence[WorkerRecord], *, begins: bool = False
     ) -> LimitVerdict:
         """Request a grant for a call to one of some limited workers, given the best first.
@@ -134,7 +134,7 @@
         """Choose a worker by the local send slots, if the owner did not reply."""
         for worker in candidates:
             if self._limits.may_send(worker, now):
-                self._limits.note_sent(worker, now)
+                self._limits.record_sent(worker, now)
                 return LimitGrant(worker.worker_id)
         rates = [self._limits.rate(worker, now) or 0.0 for worker in candidates]
         return LimitGrant("", GRANT_TIMEOUT_SECONDS, sum(rates))
@@ -142,7 +142,7 @@
     async def _ask_owner(self, owner: str, request: LimitGrantRequest) -> LimitGrant | None:
         member = self._fleet.member(owner)
         if owner == self._fleet.own_name or member is None:
-            return self._owner.grant(request)
+            return self._owner.grant_request(request)
         data = msgspec.msgpack.encode(request)
         address = member.heartbeat.address
         body = await self._peers.ask(address, LIMIT_GRANT_PATH, data, seconds=GRANT_TIMEOUT_SECONDS)
--- a/src/corkcrank/node/limits/worker_limits.py
+++ b/src/corkcrank/node/limits/worker_limits.py
@@ -66,7 +66,9 @@
             return None
         return profile.warmup_rate
 
-    def wait(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> float:
+    def seconds_until_grant(
+        self, worker: WorkerRecord, now: float, *, begins: bool = False
+    ) -> float:
         """Return after how many seconds this gateway, as owner, may grant a worker one more call.
 
         ``begins`` selects the grants of calls that begin instead of those that are sent.
@@ -75,7 +77,7 @@
         log = self._begun if begins else self._sent
         return log.seconds_until_fit(worker.worker_id, limits, now) if limits else 0.0
 
-    def note_granted(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> None:
+    def record_grant(self, worker: WorkerRecord, now: float, *, begins: bool = False) -> None:
         """Record that this gateway, as owner, granted a request to a worker."""
         limits = self.limits(worker, now)
         if limits:
@@ -90,7 +92,7 @@
             return True
         return self._slots.is_open(worker.worker_id, rate, self._fleet.known_members(), now)
 
-    def note_sent(self, worker: WorkerRecord, now: float) -> None:
+    def record_sent(self, worker: WorkerRecord, now: float) -> None:
         """Record that a request is sent to a worker without a grant of the owner."""
         rate = self.rate(worker, now)
         if rate is not None:
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -204,7 +204,7 @@
             prefixes=self._recent_prefixes.prefixes_to_report(now, self._fleet.interval()),
             forecast_ratios=self._forecast_bias.measurements_to_report(now),
             strength=self._fleet.own_strength,
-            outcomes=self._health.reported(now),
+            outcomes=self._health.outcomes_to_report(now),
             trials=self._crash_watch.quarantine.trial_reports(now, self._fleet.interval()),
             zone_states=self._mirror.evacuations.told(),
             limits=self._statements.limits.reports_for_peers(now),
@@ -238,10 +238,10 @@
             self.pass_on_soon()
         self._loads.apply_peer_report(heartbeat.name, heartbeat.call_loads)
         self._forecast_bias.apply_peer_report(heartbeat.name, heartbeat.forecast_ratios, now)
-        self._health.take(heartbeat.name, heartbeat.zone, heartbeat.outcomes)
-        self._crash_watch.take_trials(heartbeat.trials)
-        self._crash_watch.take(heartbeat.crashes, heartbeat.name)
-        self._statements.take(heartbeat.limits, heartbeat.name)
+        self._health.apply_peer_report(heartbeat.name, heartbeat.zone, heartbeat.outcomes)
+        self._crash_watch.apply_trial_reports(heartbeat.trials)
+        self._crash_watch.apply_reports(heartbeat.crashes, heartbeat.name)
+        self._statements.apply_reports(heartbeat.limits, heartbeat.name)
         if heartbeat.configuration_version > self._mirror.version:
             self.on_behind()
         for prefix in heartbeat.prefixes:
@@ -250,7 +250,7 @@
     def _note_restarted(self, before: Member | None) -> None:
         """Take that a member has started anew; unless it had left, it ended without a word."""
         if before is not None and before.heartbeat.phase != Phase.LEAVING:
-            self._crash_watch.note_member_lost(before.heartbeat.name, before.heard_at)
+            self._crash_watch.record_member_unreachable(before.heartbeat.name, before.heard_at)
 
     def _take_worker_changes(self, batch: WorkerChangeBatch, name: str, now: float) -> None:
         if not self._mirror.take_changes(batch, f"peer {name}"):
@@ -276,9 +276,9 @@
             if self._fleet.suspected(name, now):
                 self._loads.remove_peer(name)
                 self._forecast_bias.discard_peer(name)
-                self._health.forget(name)
+                self._health.discard_peer(name)
                 member = self._fleet.member(name)
                 age = now - member.heard_at if member is not None else None
                 self._log.write(LogEvent.MEMBER_SUSPECTED, member=name, silent=age)
                 if member is not None and member.heartbeat.phase != Phase.LEAVING:
-                    self._crash_watch.note_member_lost(name, member.heard_at)
+                    self._crash_watch.record_member_unreachable(name, member.heard_at)
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -129,7 +129,7 @@
             if isinstance(answer, PeerTrouble):
                 self._note_trouble(member, answer)
                 continue
-            self._crash_watch.take(answer.reports, member.heartbeat.name)
+            self._crash_watch.apply_reports(answer.reports, member.heartbeat.name)
 
     def _note_trouble(self, member: Member, trouble: PeerTrouble) -> None:
         self._log.write(LogEvent.PULL_FAILED, member=member.heartbeat.name, detail=trouble.value)
--- a/src/corkcrank/node/membership/peer_server.py
+++ b/src/corkcrank/node/membership/peer_server.py
@@ -181,7 +181,7 @@
     async def _limit_grant(self, request: web.BaseRequest) -> web.Response:
         message = msgspec.msgpack.decode(await self._read(request), type=LimitGrantRequest)
         _check_asker(request)
-        return web.Response(body=msgspec.msgpack.encode(self._limit_owner.grant(message)))
+        return web.Response(body=msgspec.msgpack.encode(self._limit_owner.grant_request(message)))
 
     async def _read(self, request: web.BaseRequest) -> bytes:
         """Return a whole message; a connection that falls silent within one is dropped."""
@@ -218,7 +218,7 @@
             code = ResultCode.MALFORMED_REQUEST
             failure = {"code": code.number, "name": code.name, "detail": "no fingerprint"}
             return web.json_response(failure, status=code.http_status)
-        return web.Response(body=msgspec.json.encode(self._crash_watch.release(text)))
+        return web.Response(body=msgspec.json.encode(self._crash_watch.release_request(text)))
 
     async def _metrics(self, request: web.BaseRequest) -> web.Response:
         return web.Response(body=generate_latest(self._registry), content_type="text/plain")
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -110,7 +110,7 @@
         while isinstance(rows := await self._store.read(StoreTable.QUARANTINE), StoreFailure):
             await asyncio.sleep(RETRY_SECONDS)
         reports = [report for row in rows.rows for report in self._reports(row, rows.store_time)]
-        self._crash_watch.take(reports, "store")
+        self._crash_watch.apply_reports(reports, "store")
 
     def _reports(self, row: StoreRow, store_time: float) -> list[CrashReport]:
         if not isinstance(row.value, bytes):
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -114,7 +114,7 @@
         self._health = WorkerHealth(
             self.mirror, self._worker_statistics, log, metrics, process.zone, random_source
         )
-        self.stage_owner.on_outcome = self._health.note
+        self.stage_owner.on_outcome = self._health.record_outcome
         self.crash_watch = CrashWatch(self._worker_statistics, log, metrics)
         self.services = CallServices(
             ports=ports,
@@ -171,8 +171,8 @@
         self._pulls = PeerPulls(self.fleet, self.mirror, self._peers, self.crash_watch, log)
         self._pulls.on_adopted = self.heartbeats.pass_on_soon
         self.heartbeats.on_behind = self._pulls.look_soon
-        self.crash_watch.on_news = self.heartbeats.pass_on_soon
-        self._statements.on_news = self.heartbeats.pass_on_soon
+        self.crash_watch.on_update = self.heartbeats.pass_on_soon
+        self._statements.on_update = self.heartbeats.pass_on_soon
         self._quarantine_rows = QuarantineRows(
             ports.store, self.mirror, self.fleet, self._election, self.crash_watch, log
         )
@@ -234,7 +234,7 @@
             self._spawn(register(process, self._ports.store, self.fleet, self.heartbeats)),
             self._spawn(self._become_ready()),
             self._spawn(measure_lag(self.services.metrics, self.fleet)),
-            self._spawn(self._health.watch()),
+            self._spawn(self._health.evaluate_periodically()),
             self._spawn(self._quarantine_rows.keep()),
         ]
 
@@ -306,7 +306,7 @@
         self._capacity_log.note()
         self._worker_statistics.retain_only(listed)
         self._engines.retain_only(listed)
-        self._health.forget_all_but(listed)
+        self._health.retain_only(listed)
         self._statements.limits.retain_only(listed)
         self.mirror.warming.forget_all_but(listed)
         self.stage_owner.workers_changed()
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -115,7 +115,9 @@
     """Block the queue of a limited worker until it takes one more call, which forecasts see."""
     entry.queue.min_call_interval = limits.interval(entry.worker, now)
     if entry.queue.min_call_interval:
-        entry.queue.block_calls(now, min(limits.wait(entry.worker, now), LONGEST_BLOCK_SECONDS))
+        entry.queue.block_calls(
+            now, min(limits.seconds_until_grant(entry.worker, now), LONGEST_BLOCK_SECONDS)
+        )
 
 
 def next_call(entry: OwnedQueue, limits: WorkerLimits, now: float) -> StageCall | None:
@@ -123,5 +125,5 @@
     hold_back(entry, limits, now)
     call = entry.queue.start_next_call(now)
     if call is not None:
-        limits.note_granted(entry.worker, now)
+        limits.record_grant(entry.worker, now)
     return call
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -196,7 +196,7 @@
         for worker_id in broken:
             worker = self.dispatch.worker(worker_id)
             if worker is not None:
-                self.crash_watch.note_broken(self.call, worker)
+                self.crash_watch.record_connection_failure(self.call, worker)
 
     async def _place(
         self,
--- a/src/corkcrank/node/stages/stage_worker_client.py
+++ b/src/corkcrank/node/stages/stage_worker_client.py
@@ -71,7 +71,7 @@
         body = self._codec.encode_free(handles)
         response = await self._open(worker, "POST", self._codec.free_path, body, CALL_TIME_MARGIN)
         if not isinstance(response, SendFailure):
-            await self._client.read(response, CALL_TIME_MARGIN)
+            await self._client.read_body(response, CALL_TIME_MARGIN)
 
     async def report(self, worker: WorkerRecord) -> StageWorkerReport | Unreadable | None:
         """Return what a worker reports of its room, or ``None`` without an answer.
@@ -81,7 +81,7 @@
         response = await self._open(worker, "GET", self._codec.report_path, b"", REPORT_SECONDS)
         if isinstance(response, SendFailure):
             return None
-        body = await self._client.read(response, REPORT_SECONDS)
+        body = await self._client.read_body(response, REPORT_SECONDS)
         if body is None or response.status != HTTPStatus.OK:
             return None
         return self._codec.decode_report(body)
@@ -91,11 +91,11 @@
     ) -> aiohttp.ClientResponse | SendFailure:
         """Ask a worker something, and take what its answer says of the worker itself."""
         headers = list(self._codec.run_headers(worker).items())
-        response = await self._client.open(
+        response = await self._client.send_request(
             method, worker.address, path, headers, body, seconds, fresh=False
         )
         if not isinstance(response, SendFailure):
-            self._statements.hear(worker, response.status, response.headers)
+            self._statements.record_response(worker, response.status, response.headers)
         return response
 
     async def _read(
@@ -105,7 +105,7 @@
         known_handles: dict[str, None],
         limit: float,
     ) -> list[PieceResult] | SendFailure | None:
-        body = await self._client.read(response, limit)
+        body = await self._client.read_body(response, limit)
         if response.status == TURNED_AWAY_STATUS:
             return None
         results = self._codec.decode_run(body, count) if body is not None else None
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -18,7 +18,7 @@
 from corkcrank.node.streams.stream_answer import StreamAnswer
 from corkcrank.node.streams.stream_part import StreamPart
 from corkcrank.node.streams.stream_relay import LEAST_SILENCE_SECONDS, RelayEnd, StreamRelay
-from corkcrank.node.workers.worker_health import FAULT_STATUS
+from corkcrank.node.workers.worker_health import MIN_FAULT_STATUS
 from corkcrank.scheduling.stage_plan import StagePlan
 from corkcrank.scheduling.worker_outcomes import CallOutcome
 
@@ -66,7 +66,7 @@
         call = self._call
         if call.may_have_run and not call.route.idempotent:
             return False
-        if self.failure is not None and self.failure.status < FAULT_STATUS:
+        if self.failure is not None and self.failure.status < MIN_FAULT_STATUS:
             return False
         attempts_left = len(call.workers_tried) < call.route.maximum_attempts
         return attempts_left and self._services.could_repeat(call.service)
@@ -99,13 +99,13 @@
         It is no part of a stream that another engine began: its body has an end of its own,
         which must not end the caller's answer.
         """
-        if attempt.status >= FAULT_STATUS:
+        if attempt.status >= MIN_FAULT_STATUS:
             statistics = self._services.worker_statistics.get_or_create(attempt.worker.worker_id)
             statistics.failures.append(clock.now())
-        self._services.health.answered(attempt.worker, attempt.status)
+        self._services.health.record_response(attempt.worker, attempt.status)
         failure = await read_whole_answer(self._services, attempt, self._failure_patience())
         if failure is not None:
-            self._services.crash_watch.note_served(self._call)
+            self._services.crash_watch.record_completed(self._call)
             self.failure = failure
         return RelayEnd.FAILED
 
@@ -158,7 +158,7 @@
         def note() -> None:
             now = clock.now()
             self._assignment.has_read()
-            self._services.health.note(engine, CallOutcome.SERVED)
+            self._services.health.record_outcome(engine, CallOutcome.SERVED)
             self._services.prefill_grants.done(self._call, read=True)
             self._services.first_event_times.learn(self._call.service, now - sent_at)
             self._services.fetch_delay(self._call.service).record_hit()
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -13,7 +13,7 @@
 from corkcrank.node.streams.events import EventReader, StreamEvent
 from corkcrank.node.streams.stream_answer import StreamAnswer
 from corkcrank.node.streams.stream_part import StreamPart, framing_of
-from corkcrank.node.workers.worker_client import address_of, unframed_end
+from corkcrank.node.workers.worker_client import address_of, unframed_body_end
 
 LEAST_SILENCE_SECONDS = 1.0
 """A stream is never moved for a shorter silence between events."""
@@ -88,7 +88,7 @@
         self, upstream: aiohttp.ClientResponse, part: StreamPart, first_seconds: float
     ) -> RelayEnd:
         reader = EventReader()
-        closed = unframed_end(upstream)
+        closed = unframed_body_end(upstream)
         patience = first_seconds
         try:
             while True:
@@ -120,7 +120,7 @@
         except TimeoutError:
             waited = clock.now() - started
             if waited >= LEAST_SILENCE_SECONDS:
-                self._services.client.note_silence(address_of(upstream), waited)
+                self._services.client.record_silence(address_of(upstream), waited)
             raise
 
     async def _send_events(
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -98,7 +98,7 @@
         limited = self._services.limits.limited(engines, clock.now())
         if len(limited) == len(engines):
             grants = self._services.limit_grants
-            verdict = await grants.take(self._call, engines, begins=True)
+            verdict = await grants.request_grant(self._call, engines, begins=True)
             if verdict.worker is None:
                 self._services.metrics.limit_held_back.labels("refused").inc()
                 return Refusal(ResultCode.WORKERS_LIMITED, retry_after=verdict.wait)
@@ -115,7 +115,7 @@
                 break
             end = await self._exchanges.send(engine, inputs)
             if end is RelayEnd.COMPLETE:
-                self._services.crash_watch.note_served(self._call)
+                self._services.crash_watch.record_completed(self._call)
                 return self._answer.finished()
             if end is RelayEnd.CALLER_GONE:
                 raise CallerLeftError
@@ -142,7 +142,7 @@
         if engine is None or not self._may_send(number):
             return None
         engine = await self._take_turn(engine)
-        return None if crash_watch.quarantine_left(self._call) else engine
+        return None if crash_watch.quarantine_seconds_left(self._call) else engine
 
     async def _take_turn(self, chosen: WorkerRecord) -> WorkerRecord | None:
         """Return the engine that reads the prompt next.
@@ -293,7 +293,7 @@
             overdue = clock.now() >= self._call.end_at
             code = ResultCode.DEADLINE_EXCEEDED if overdue else ResultCode.WORKER_LOST
             return Refusal(code)
-        if wait := self._services.crash_watch.quarantine_left(self._call):
+        if wait := self._services.crash_watch.quarantine_seconds_left(self._call):
             return Refusal.quarantined(wait)
         if not self._admission.ends_before_stop():
             return Refusal.draining("its stream would outlast the drain")
@@ -311,7 +311,7 @@
             return self._exchanges.failure
         if self._call.may_have_run:
             return Refusal(ResultCode.STAGE_FAILED, error.detail)
-        if wait := self._services.crash_watch.quarantine_left(self._call):
+        if wait := self._services.crash_watch.quarantine_seconds_left(self._call):
             return Refusal.quarantined(wait)
         if self._services.drain.begun:
             return Refusal.draining(error.detail)
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -33,7 +33,7 @@
     ) -> None:
         self._worker_statistics = worker_statistics
         self.quarantine = RequestQuarantine()
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_update: Callable[[], None] = lambda: None
         self._log = log
         self._metrics = metrics
         self._exit_checks: dict[str, asyncio.Task[bool]] = {}
@@ -42,7 +42,7 @@
         self._review_timer: asyncio.TimerHandle | None = None
         self._logged_problems: set[str] = set()
 
-    def quarantine_left(self, call: OpaqueCall) -> float:
+    def quarantine_seconds_left(self, call: OpaqueCall) -> float:
         """Return for how many more seconds a call's request is not sent to workers, 0 if it may."""
         if self.quarantine.empty:
             return 0.0
@@ -70,7 +70,7 @@
                     seconds=round(wait, 3),
                 )
             await asyncio.sleep(wait)
-        return self.quarantine_left(call)
+        return self.quarantine_seconds_left(call)
 
     def is_suspected(self, call: OpaqueCall) -> bool:
         """Return whether a worker crashed with a call's request that has not completed since."""
@@ -79,7 +79,7 @@
         state = self.quarantine.state(call.fingerprint, clock.now())
         return state is not RequestState.HEALTHY
 
-    def note_sent(self, call: OpaqueCall) -> None:
+    def record_sent(self, call: OpaqueCall) -> None:
         """Record that a call is sent to a worker.
 
         If its request is on probation, no other call of the request may be sent for a while.
@@ -88,9 +88,9 @@
             return
         if self.quarantine.record_sent(call.fingerprint, clock.now()):
             self._log.write(LogEvent.REQUEST_TRIED, call=call.call_id, request=call.fingerprint)
-            self.on_news()
+            self.on_update()
 
-    def note_broken(
+    def record_connection_failure(
         self, call: OpaqueCall, worker: WorkerRecord, *, progressed: bool = False
     ) -> None:
         """Record that a call's connection to a worker failed; check if the worker has exited.
@@ -101,31 +101,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def note_served(self, call: OpaqueCall) -> None:
+    def record_completed(self, call: OpaqueCall) -> None:
         """Record that a worker completed a call: this clears the suspicion of its request."""
         if self.quarantine.empty:
             return
         if self.quarantine.record_success(call.fingerprint, clock.now()):
             self._log.write(LogEvent.REQUEST_CLEARED, call=call.call_id, request=call.fingerprint)
             self._review_verdicts()
-            self.on_news()
+            self.on_update()
 
-    def note_member_lost(self, member: str, last_heard_at: float) -> None:
+    def record_member_unreachable(self, member: str, last_received_at: float) -> None:
         """Record that a gateway is unreachable and announced no exit.
 
         It may not have reported the requests that it had at crashed workers, so crash records of
         that time may be incomplete.
         """
-        if self.quarantine.record_gateway_failure(last_heard_at, clock.now()):
+        if self.quarantine.record_gateway_failure(last_received_at, clock.now()):
             self._log.write(
                 LogEvent.EVIDENCE_INCOMPLETE,
                 member=member,
-                age=round(clock.now() - last_heard_at, 3),
+                age=round(clock.now() - last_received_at, 3),
             )
             self._review_verdicts()
-            self.on_news()
+            self.on_update()
 
-    def take(self, reports: Iterable[CrashReport], source: str) -> None:
+    def apply_reports(self, reports: Iterable[CrashReport], source: str) -> None:
         """Apply crash reports of a peer or of the store."""
         now = clock.now()
         changed = False
@@ -137,22 +137,22 @@
                 self._worker_statistics.get_or_create(report.worker_id).record_end(now - report.age)
         if changed:
             self._review_verdicts()
-            self.on_news()
+            self.on_update()
 
-    def take_trials(self, reports: Iterable[TrialReport]) -> None:
+    def apply_trial_reports(self, reports: Iterable[TrialReport]) -> None:
         """Apply a peer's reports of calls of requests on probation."""
         now = clock.now()
         if any([self.quarantine.apply_trial_report(report, now) for report in reports]):
-            self.on_news()
+            self.on_update()
 
-    def release(self, request: str) -> ReleaseAnswer:
+    def release_request(self, request: str) -> ReleaseAnswer:
         """Release a request from quarantine, for an operator who knows that it is healthy."""
         now = clock.now()
         before = self.quarantine.state(request, now)
         if self.quarantine.record_success(request, now):
             self._log.write(LogEvent.REQUEST_RELEASED, request=request, before=before.value)
             self._review_verdicts()
-            self.on_news()
+            self.on_update()
         return ReleaseAnswer(request, before.value, self.quarantine.state(request, now).value)
 
     async def close(self) -> None:
@@ -184,7 +184,7 @@
             progressed=progressed,
         )
         self._review_verdicts()
-        self.on_news()
+        self.on_update()
 
     async def _has_exited(self, worker: WorkerRecord) -> bool:
         """Return whether a worker's process has exited.
--- a/src/corkcrank/node/workers/worker_client.py
+++ b/src/corkcrank/node/workers/worker_client.py
@@ -98,7 +98,7 @@
         await self._kept.close()
         await self._fresh.close()
 
-    async def open(
+    async def send_request(
         self,
         method: str,
         address: str,
@@ -132,12 +132,12 @@
         except aiohttp.ConnectionTimeoutError:
             return SendFailure(SendTrouble.NOT_SENT, "connect time-out")
         except TimeoutError:
-            self.note_silence(address, clock.now() - started)
+            self.record_silence(address, clock.now() - started)
             return SendFailure(SendTrouble.SILENT, "no answer in time")
         except (aiohttp.ClientError, OSError, ValueError) as error:
             return SendFailure(SendTrouble.UNKNOWN, type(error).__name__)
 
-    async def read(
+    async def read_body(
         self, response: aiohttp.ClientResponse, seconds: float, silence: float = float("inf")
     ) -> bytes | None:
         """Return a complete body, or ``None`` if it was truncated or timed out.
@@ -147,7 +147,7 @@
         reports the body as complete, so this method checks how the connection ended.
         """
         end_at = clock.now() + seconds
-        closed = unframed_end(response)
+        closed = unframed_body_end(response)
         chunks: list[bytes] = []
         received_at = clock.now()
         try:
@@ -162,7 +162,7 @@
                 await closed
         except TimeoutError:
             response.close()
-            self.note_silence(address_of(response), clock.now() - received_at)
+            self.record_silence(address_of(response), clock.now() - received_at)
             return None
         except (aiohttp.ClientError, OSError, ValueError):
             return None
@@ -172,7 +172,7 @@
         """Close all idle connections; return their number."""
         return drop_all_idle(self._kept)
 
-    def note_silence(self, address: str, waited: float) -> None:
+    def record_silence(self, address: str, waited: float) -> None:
         """Record that a worker's connection was dropped after ``waited`` seconds without a byte."""
         if waited < MIN_SILENCE_SECONDS:
             return
@@ -202,7 +202,7 @@
     return session
 
 
-def unframed_end(response: aiohttp.ClientResponse) -> asyncio.Future[None] | None:
+def unframed_body_end(response: aiohttp.ClientResponse) -> asyncio.Future[None] | None:
     """Return the future that completes when the connection closes, for a body without framing."""
     if "Content-Length" in response.headers or "Transfer-Encoding" in response.headers:
         return None
--- a/src/corkcrank/node/workers/worker_health.py
+++ b/src/corkcrank/node/workers/worker_health.py
@@ -16,7 +16,7 @@
 EVALUATION_INTERVAL_SECONDS = 0.25
 """Time between two evaluations: heartbeats of a small fleet bring updates about this often."""
 
-FAULT_STATUS = 500
+MIN_FAULT_STATUS = 500
 """Lowest status that counts as a failure of the worker, so that another worker may succeed; a lower
 error status is the caller's fault."""
 
@@ -43,41 +43,41 @@
         self._outcomes = OutcomeTable(zone)
         self._detector = OutlierDetector(self._outcomes, random_source)
 
-    def answered(self, worker: WorkerRecord, status: int) -> None:
+    def record_response(self, worker: WorkerRecord, status: int) -> None:
         """Record the status of a worker's complete response.
 
         A response at the deadline says nothing about the worker and is not recorded.
         """
         if status == DEADLINE_STATUS:
             return
-        failed = status >= FAULT_STATUS
-        self.note(worker, CallOutcome.FAULT if failed else CallOutcome.SERVED)
+        failed = status >= MIN_FAULT_STATUS
+        self.record_outcome(worker, CallOutcome.FAULT if failed else CallOutcome.SERVED)
 
-    def note(self, worker: WorkerRecord, outcome: CallOutcome) -> None:
+    def record_outcome(self, worker: WorkerRecord, outcome: CallOutcome) -> None:
         """Record the outcome of a call at a worker; evaluate its service at once on a fault."""
         now = clock.now()
         self._outcomes.record_outcome(worker.worker_id, outcome, now)
         if outcome is CallOutcome.FAULT:
             self._evaluate_service(worker.service, now)
 
-    def take(self, peer: str, zone: str, told: Iterable[ReportedOutcomes]) -> None:
+    def apply_peer_report(self, peer: str, zone: str, reports: Iterable[ReportedOutcomes]) -> None:
         """Apply a peer's report of call outcomes at workers that failed its calls."""
-        self._outcomes.apply_peer_report(peer, zone, told, clock.now())
+        self._outcomes.apply_peer_report(peer, zone, reports, clock.now())
 
-    def forget(self, peer: str) -> None:
+    def discard_peer(self, peer: str) -> None:
         """Remove the outcomes that an unreachable peer reported."""
         self._outcomes.remove_peer(peer)
 
-    def reported(self, now: float) -> tuple[ReportedOutcomes, ...]:
+    def outcomes_to_report(self, now: float) -> tuple[ReportedOutcomes, ...]:
         """Return the outcomes that a heartbeat reports to peers."""
         return self._outcomes.report_for_peers(now)
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove workers that are no longer listed."""
         self._outcomes.retain_only(worker_ids)
         self._detector.retain_only(worker_ids)
 
-    async def watch(self) -> None:
+    async def evaluate_periodically(self) -> None:
         """Evaluate, in an endless loop, the services with a recorded failure."""
         evaluated_before: set[str] = set()
         while True:
--- a/src/corkcrank/node/workers/worker_statements.py
+++ b/src/corkcrank/node/workers/worker_statements.py
@@ -29,9 +29,11 @@
         self._metrics = metrics
         self._unknown_headers: set[str] = set()
         self.limits = StatedLimits()
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_update: Callable[[], None] = lambda: None
 
-    def hear(self, worker: WorkerRecord, status: int, headers: Mapping[str, str]) -> None:
+    def record_response(
+        self, worker: WorkerRecord, status: int, headers: Mapping[str, str]
+    ) -> None:
         """Record the statements in the head of a response to a request that was sent to a worker.
 
         A misdirected request (421) is skipped: another worker has taken over the address.
@@ -46,7 +48,7 @@
         else:
             self._record_stated_limit(worker, statement.rate_limit)
 
-    def take(self, reports: Iterable[ReportedLimit], source: str) -> None:
+    def apply_reports(self, reports: Iterable[ReportedLimit], source: str) -> None:
         """Apply a peer's reports of rate limits."""
         now = clock.now()
         for report in reports:
@@ -76,7 +78,7 @@
             age=age,
         )
         if change is LimitChange.NAMED:
-            self.on_news()
+            self.on_update()
 
     def _record_unreadable_limit(self, worker_id: str, reason: str) -> None:
         self._metrics.rate_limit_changes.labels("unreadable").inc()
--- a/tests/platform/test_crash_evidence.py
+++ b/tests/platform/test_crash_evidence.py
@@ -32,7 +32,7 @@
     for worker_id in workers:
         node.crash_watch.quarantine.record_crash(request, worker_id, clock.now())
     node.crash_watch._review_verdicts()
-    node.crash_watch.on_news()
+    node.crash_watch.on_update()
 
 
 def all_decidable(node: Node) -> bool:
@@ -135,7 +135,7 @@
     workers = plain_workers(1)
     async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
         watch = running.nodes[0].crash_watch
-        watch.take([report, report], "peer x")
+        watch.apply_reports([report, report], "peer x")
         assert watch.quarantine.empty
         counter = watch._metrics.unreadable_crash_reports.labels(report.problem())
         assert counter._value.get() == 2.0
--- a/tests/platform/test_limit_news.py
+++ b/tests/platform/test_limit_news.py
@@ -117,7 +117,7 @@
         monkeypatch.setattr(node._log, "write", lambda event, **fields: lines.append({"e": event}))
         invalid = [(float("nan"), 0.0), (-1.0, 0.0), (1.0, -5.0), (0.0, float("inf"))]
         reports = [ReportedLimit(worker.worker_id, rate, age) for rate, age in invalid]
-        node.services.statements.take(reports, "peer")
+        node.services.statements.apply_reports(reports, "peer")
         assert (await running.call("/safe/x", method="GET")).status == 200
         assert list(node.services.statements.limits) == []
         assert sum(line["e"] == LogEvent.RATE_LIMIT_UNREADABLE for line in lines) == len(invalid)
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -152,7 +152,7 @@
 
 
 async def ask_worker(client: WorkerClient, address: str) -> bytes | SendFailure:
-    response = await client.open("GET", address, "/", [], b"", 0.3, fresh=False)
+    response = await client.send_request("GET", address, "/", [], b"", 0.3, fresh=False)
     return response if isinstance(response, SendFailure) else await response.read()
 
 
--- a/tests/platform/test_worker_health.py
+++ b/tests/platform/test_worker_health.py
@@ -95,7 +95,7 @@
 
 def record_failures(node: Node, record: WorkerRecord, times: int) -> None:
     for _ in range(times):
-        node._health.answered(record, 500)
+        node._health.record_response(record, 500)
 
 
 def verdict(node: Node, record: WorkerRecord) -> Verdict:
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -232,7 +232,7 @@
         if simulation.scenario.limits:
             rate = simulation.scenario.limits.get(worker.worker_id)
             headers = {} if rate is None else {"Server-Limit": str(rate)}
-            services.statements.hear(worker, HTTPStatus.OK, headers)
+            services.statements.record_response(worker, HTTPStatus.OK, headers)
         return Attempt(worker, AttemptOutcome.ANSWERED)
 
     patch.setattr(EngineExchanges, "_take_answer", take_answer)
@@ -255,7 +255,7 @@
         return msgspec.msgpack.encode(engines.grant(decode(message, type=PrefillRequest)))
     if path == LIMIT_GRANT_PATH:
         request = decode(message, type=LimitGrantRequest)
-        return msgspec.msgpack.encode(target._peer_server._limit_owner.grant(request))
+        return msgspec.msgpack.encode(target._peer_server._limit_owner.grant_request(request))
     if path == PREFILL_DONE_PATH:
         engines.done(decode(message, type=PrefillDone))
         return b""
