--- a/src/corkcrank/scheduling/crash_records.py
+++ b/src/corkcrank/scheduling/crash_records.py
@@ -46,9 +46,9 @@
 class CrashRecord:
     """The crash of one worker incarnation; times are of the local clock.
 
-    ``at`` is the time of the crash, ``known_at`` when the crash was first known at this gateway,
-    and ``grown_at`` when a request was last added. ``changed_at`` is the time of the last change,
-    and ``told_at`` when the record was last reported after that change.
+    ``at`` is the time of the crash, ``first_known_at`` when this gateway first knew of it, and
+    ``last_added_at`` when a request was last added. ``changed_at`` is the time of the last change,
+    and ``reported_at`` when the record was last reported after that change.
     """
 
     worker_id: str
--- a/src/corkcrank/scheduling/crash_reports.py
+++ b/src/corkcrank/scheduling/crash_reports.py
@@ -58,8 +58,8 @@
     ) -> "CrashReport":
         """Build a report in its wire form.
 
-        >>> one = RequestAtEnd("00112233445566ff", progressed=True)
-        >>> CrashReport.of("w", 0.5, [one], incomplete=False).requests() == [one]
+        >>> one = RequestAtCrash("00112233445566ff", progressed=True)
+        >>> CrashReport.from_requests("w", 0.5, [one], incomplete=False).requests() == [one]
         True
         """
         items = list(requests)
--- a/src/corkcrank/scheduling/crash_verdicts.py
+++ b/src/corkcrank/scheduling/crash_verdicts.py
@@ -17,7 +17,7 @@
 
 MIN_CERTAINTY_CRASHES = 5
 """Minimum number of crashes for which a request is quarantined even if other requests may explain
-them: two more than the minimum above, of the three further crashes that a request may cause."""
+them: two more than for a quarantine, of the three further crashes that a request may cause."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,9 +33,9 @@
 class _Evidence:
     """An index of the crash records by suspect and by worker.
 
-    ``ends`` holds the crashed workers of each request. ``beginnings`` is the subset with a complete
-    record and an early run of the request, and ``began_at`` holds the same pairs by worker.
-    ``progressed`` holds the requests whose run had progressed at one crash or more.
+    ``ends`` holds the crashed workers of each request. ``early_crashes`` is the subset with a
+    complete record and an early run of the request, and ``early_requests`` holds the same pairs by
+    worker. ``progressed`` holds the requests whose run had progressed at one crash or more.
     """
 
     ends: dict[str, set[str]] = field(default_factory=dict)
--- a/src/corkcrank/scheduling/request_quarantine.py
+++ b/src/corkcrank/scheduling/request_quarantine.py
@@ -308,7 +308,7 @@
 def quarantine_seconds(ends: int) -> float:
     """Return how long a request is quarantined after its last crash.
 
-    >>> quarantine_seconds(QUARANTINE_ENDS), quarantine_seconds(5), quarantine_seconds(99)
+    >>> quarantine_seconds(MIN_QUARANTINE_CRASHES), quarantine_seconds(5), quarantine_seconds(99)
     (60.0, 240.0, 3600.0)
     """
     doublings = min(ends - MIN_QUARANTINE_CRASHES, MAX_DOUBLINGS)
