--- a/src/corkcrank/scheduling/outlier_detection.py
+++ b/src/corkcrank/scheduling/outlier_detection.py
@@ -247,7 +247,9 @@
 
     A fixed prior made workers that all fail look better the fewer calls they had.
 
-    >>> round(expected_rate(Counts(), 0.1), 2), round(expected_rate(Counts(3.0, 3.0), 0.1), 2)
+    >>> round(expected_failure_rate(Counts(), 0.1), 2), round(
+    ...     expected_failure_rate(Counts(3.0, 3.0), 0.1), 2
+    ... )
     (0.1, 0.32)
     """
     return (counts.failed + usual * PRIOR_WEIGHT) / (counts.total + PRIOR_WEIGHT)
@@ -256,7 +258,9 @@
 def failure_rate_lower_bound(counts: Counts) -> float:
     """Return the lower end of the Wilson interval of a failure rate.
 
-    >>> lowest_rate(Counts(0.0, 0.0)), round(lowest_rate(Counts(3.0, 3.0)), 2)
+    >>> failure_rate_lower_bound(Counts(0.0, 0.0)), round(
+    ...     failure_rate_lower_bound(Counts(3.0, 3.0)), 2
+    ... )
     (0.0, 0.14)
     """
     total = counts.total
--- a/src/corkcrank/scheduling/peer_loads.py
+++ b/src/corkcrank/scheduling/peer_loads.py
@@ -21,7 +21,10 @@
         >>> worker_statistics = WorkerStatisticsTable()
         >>> peers = PeerLoads(worker_statistics)
         >>> peers.take("a", [CallLoad("w", 3, 70)]); peers.take("a", [CallLoad("w", 1)])
-        >>> worker_statistics.of("w").peers_in_flight, worker_statistics.of("w").peers_reading
+        >>> (
+        ...     worker_statistics.get_or_create("w").peers_in_flight,
+        ...     worker_statistics.get_or_create("w").peers_reading,
+        ... )
         (1, 0)
         """
         reported = {load.worker_id: load for load in loads}
--- a/src/corkcrank/scheduling/rate_limits.py
+++ b/src/corkcrank/scheduling/rate_limits.py
@@ -55,9 +55,9 @@
 def limits_for_stated_rate(rate: float) -> tuple[RateLimit, ...]:
     """Return the limits of a worker that states a rate: one for bursts, one for the longer window.
 
-    >>> stated_limits(1.2)
+    >>> limits_for_stated_rate(1.2)
     (RateLimit(rate=2, window=1.0), RateLimit(rate=1.2, window=4.0))
-    >>> stated_limits(0.1)
+    >>> limits_for_stated_rate(0.1)
     (RateLimit(rate=1, window=1.0), RateLimit(rate=0.1, window=10.0))
     """
     window = max(STATED_WINDOW_SECONDS, 1.0 / rate) if rate > 0 else STATED_WINDOW_SECONDS
@@ -74,7 +74,7 @@
         """Return whether a worker may get one more request now.
 
         >>> log = GrantLog()
-        >>> log.note("w", 5.0)
+        >>> log.record_grant("w", 5.0)
         >>> [log.fits("w", (RateLimit(rate),), at) for rate, at in ((2, 5.5), (1, 5.5), (1, 6.1))]
         [True, False, True]
         """
@@ -88,7 +88,7 @@
     def record_grant(
         self, worker_id: str, now: float, max_age: float = STATED_WINDOW_SECONDS
     ) -> None:
-        """Record a granted request; remove grants that are older than ``longest`` seconds."""
+        """Record a granted request; remove grants that are older than ``max_age`` seconds."""
         granted = self._granted.setdefault(worker_id, deque())
         while granted and granted[0] <= now - max_age:
             granted.popleft()
--- a/src/corkcrank/scheduling/stated_limits.py
+++ b/src/corkcrank/scheduling/stated_limits.py
@@ -87,7 +87,7 @@
     def rate_at(self, now: float) -> float | None:
         """Return the rate limit at a time, ``None`` if it no longer applies.
 
-        >>> limit = StatedLimit(2.0, heard_at=10.0)
+        >>> limit = StatedLimit(2.0, stated_at=10.0)
         >>> limit.rate_at(19.9), limit.rate_at(22.0), limit.rate_at(26.0)
         (2.0, 8.0, None)
         """
@@ -128,7 +128,7 @@
         """Record the rate that an answer states, ``None`` for no limit; return the change.
 
         >>> limits = StatedLimits()
-        >>> [limits.hear("w", rate, 1.0) for rate in (None, 2.0, 2.0, 1.0, None, None)]
+        >>> [limits.record_answer("w", rate, 1.0) for rate in (None, 2.0, 2.0, 1.0, None, None)]
         [None, <LimitChange.NAMED: 'named'>, None, <LimitChange.CHANGED: 'changed'>, \
 <LimitChange.ENDED: 'ended'>, None]
         """
--- a/src/corkcrank/scheduling/worker_outcomes.py
+++ b/src/corkcrank/scheduling/worker_outcomes.py
@@ -267,7 +267,7 @@
 def decay_factor(seconds: float) -> float:
     """Return the part of a weight that is left after some seconds.
 
-    >>> fading(0.0), fading(HALF_LIFE_SECONDS)
+    >>> decay_factor(0.0), decay_factor(HALF_LIFE_SECONDS)
     (1.0, 0.5)
     """
     return float(0.5 ** (max(0.0, seconds) / HALF_LIFE_SECONDS))
--- a/tests/scheduling/test_outlier_detection.py
+++ b/tests/scheduling/test_outlier_detection.py
@@ -19,9 +19,9 @@
 from corkcrank.scheduling.outlier_detection import (
     BASE_EJECTION_SECONDS,
     EJECTION_JITTER,
+    MAX_EJECTED_SHARE,
     MAX_EJECTION_SECONDS,
     MAX_HALF_OPEN_SECONDS,
-    MAX_EJECTED_SHARE,
     OutlierDetector,
     Verdict,
 )
--- a/tests/scheduling/test_stated_limits.py
+++ b/tests/scheduling/test_stated_limits.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from corkcrank.scheduling.stated_limits import (
+    MAX_SILENCE_SECONDS,
     MIN_REPORT_LEAD_SECONDS,
     RAMP_SECONDS,
-    MAX_SILENCE_SECONDS,
     LimitChange,
     ReportedLimit,
     StatedLimits,
