--- a/src/corkcrank/scheduling/call_admission.py
+++ b/src/corkcrank/scheduling/call_admission.py
@@ -137,7 +137,7 @@
     """Decide whether a call may start.
 
     ``correction`` holds the error of earlier forecasts of the stages. ``objective_seconds`` is the
-    time until the objective and ``left_seconds`` the time until the deadline, both from now.
+    time until the objective and ``remaining_seconds`` the time until the deadline, both from now.
 
     A call is admitted if its probability to be in time is at least
     :data:`MIN_IN_TIME_PROBABILITY`. A ``returning`` call, which was refused before, needs an even
@@ -148,12 +148,18 @@
     (test_free_workers.py).
 
     >>> sure, engine = ForecastCorrection(prior_share=0.0), EngineForecast(0.3)
-    >>> admit(ChainForecast(0.5, 0.1, 0.1), sure, engine, 1.6, 8.0, returning=False).admitted
+    >>> decide_admission(
+    ...     ChainForecast(0.5, 0.1, 0.1), sure, engine, 1.6, 8.0, returning=False
+    ... ).admitted
     True
-    >>> verdict = admit(ChainForecast(2.0, 1.5, 1.5), sure, engine, 1.6, 8.0, returning=False)
+    >>> verdict = decide_admission(
+    ...     ChainForecast(2.0, 1.5, 1.5), sure, engine, 1.6, 8.0, returning=False
+    ... )
     >>> verdict.admitted, round(verdict.retry_after, 3)
     (False, 0.7)
-    >>> admit(ChainForecast(2.0, 0.0, 0.0), sure, engine, 1.6, 8.0, returning=True).admitted
+    >>> decide_admission(
+    ...     ChainForecast(2.0, 0.0, 0.0), sure, engine, 1.6, 8.0, returning=True
+    ... ).admitted
     True
     """
     needed = chain.end * correction.factor + engine.seconds
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -34,7 +34,7 @@
 none: another engine reads a failed call's prompt, and the stage results wait meanwhile."""
 
 STREAM_DELAY_COST_FACTOR = 5.0
-"""Extra cost of each token by which consecutive prefill exceeds what delays no stream."""
+"""Extra cost of each token read in a row beyond what makes the streams of the engine late."""
 
 IN_FLIGHT_CALL_COST_TOKENS = 60.0
 """Cost of each call in flight, in tokens: each call makes every engine step longer."""
@@ -89,9 +89,9 @@
 
     ``weights`` gives each engine's share of new prompts and ``penalties`` its extra cost in
     tokens, both by worker id. ``reading`` gives the tokens being read, if an owner knows them;
-    otherwise the counts of this gateway and the reports of its peers apply. ``calm_tokens`` is
-    the number of tokens that an engine may read in a row before its streams are late. A
-    ``repeatable`` call may serve as the probe of a half-open engine.
+    otherwise the counts of this gateway and the reports of its peers apply.
+    ``max_consecutive_tokens`` is the number of tokens that an engine may read in a row before its
+    streams are late. A ``repeatable`` call may serve as the probe of a half-open engine.
     """
 
     prompt: PromptShape
@@ -139,18 +139,18 @@
 
     def unread_tokens(self, worker_id: str, prompt: PromptShape) -> int:
         """Return the number of tokens of a prompt that an engine probably has not cached."""
-        memory = self._prefix_caches.get(worker_id)
-        kept = memory.cached_tokens(prompt.shared_parts) if memory is not None else 0
+        cache = self._prefix_caches.get(worker_id)
+        kept = cache.cached_tokens(prompt.shared_parts) if cache is not None else 0
         return max(0, prompt.whole_tokens - kept)
 
     def record_sent(
         self, worker_id: str, capacity: int, parts: Iterable[PrefixPart], now: float
     ) -> None:
         """Record that these shared parts were sent to an engine; ``capacity`` is in tokens."""
-        memory = self._prefix_caches.get(worker_id)
-        if memory is None:
-            memory = self._prefix_caches[worker_id] = PrefixCache(capacity)
-        memory.touch(parts, now)
+        cache = self._prefix_caches.get(worker_id)
+        if cache is None:
+            cache = self._prefix_caches[worker_id] = PrefixCache(capacity)
+        cache.touch(parts, now)
 
     def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove the prefix caches of engines that are no longer listed."""
@@ -194,11 +194,11 @@
         """Return the shared parts that any of the engines has read recently."""
         since = now - CACHED_ELSEWHERE_SECONDS
         found = (self._prefix_caches.get(engine.worker_id) for engine in engines)
-        memories = [memory for memory in found if memory is not None]
+        caches = [cache for cache in found if cache is not None]
         return tuple(
             part
             for part in prompt.shared_parts
-            if any(memory.used_since(part.part_id, since) for memory in memories)
+            if any(cache.used_since(part.part_id, since) for cache in caches)
         )
 
     def _reread_tokens(self, engine: WorkerRecord, kept: Sequence[PrefixPart], now: float) -> int:
--- a/src/corkcrank/scheduling/fetch_delay.py
+++ b/src/corkcrank/scheduling/fetch_delay.py
@@ -26,7 +26,7 @@
     def record_miss(self) -> None:
         """Double the delay after an engine missed a result.
 
-        >>> delay = FetchDelay(); delay.missed(); delay.seconds
+        >>> delay = FetchDelay(); delay.record_miss(); delay.seconds
         0.12
         """
         self.seconds = min(MAX_DELAY_SECONDS, 2.0 * self.seconds)
--- a/src/corkcrank/scheduling/forecast_bias.py
+++ b/src/corkcrank/scheduling/forecast_bias.py
@@ -106,8 +106,8 @@
         """Record the measured and the forecast seconds of a call's stages.
 
         >>> bias = ForecastBias()
-        >>> for _ in range(30): bias.learn("r", 1.0, 2.0, 0.0)
-        >>> round(bias.of("r", 0.0).factor, 1), round(bias.of("r", 60.0).factor, 1)
+        >>> for _ in range(30): bias.observe_call("r", 1.0, 2.0, 0.0)
+        >>> round(bias.for_route("r", 0.0).factor, 1), round(bias.for_route("r", 60.0).factor, 1)
         (1.9, 1.0)
         """
         if forecast <= 0:
@@ -137,9 +137,11 @@
         """Replace the measurements that a peer reported before.
 
         >>> one, two = ForecastBias(), ForecastBias()
-        >>> for _ in range(9): one.learn("r", 1.0, 3.0, 0.0)
-        >>> two.take("one", one.reported(0.0), 0.0); two.take("one", one.reported(0.1), 0.1)
-        >>> round(two.of("r", 0.1).factor, 1), two.of("other", 0.1).factor
+        >>> for _ in range(9): one.observe_call("r", 1.0, 3.0, 0.0)
+        >>> two.apply_peer_report(
+        ...     "one", one.measurements_to_report(0.0), 0.0
+        ... ); two.apply_peer_report("one", one.measurements_to_report(0.1), 0.1)
+        >>> round(two.for_route("r", 0.1).factor, 1), two.for_route("other", 0.1).factor
         (2.5, 1.0)
         """
         self._peers[peer] = {item.route: _decode_ratio(item, now) for item in ratios}
--- a/src/corkcrank/scheduling/prefill_isolation.py
+++ b/src/corkcrank/scheduling/prefill_isolation.py
@@ -42,8 +42,9 @@
         """Return whether a route's prompts are long compared with all calls.
 
         >>> sizes = PromptSizes()
-        >>> for _ in range(50): sizes.learn("long", 9000); sizes.learn("short", 700)
-        >>> sizes.is_long("long"), sizes.is_long("short")
+        >>> for _ in range(50):
+        ...     sizes.observe_prompt_size("long", 9000); sizes.observe_prompt_size("short", 700)
+        >>> sizes.has_long_prompts("long"), sizes.has_long_prompts("short")
         (True, False)
         """
         if len(self._means) < 2:
--- a/src/corkcrank/scheduling/prefill_pace.py
+++ b/src/corkcrank/scheduling/prefill_pace.py
@@ -41,8 +41,8 @@
         """Return the prefill throughput of a service's engines.
 
         >>> pace = PrefillPace()
-        >>> pace.learn("llm", 6_000, 0.2); pace.learn("llm", 100, 5.0)
-        >>> pace.tokens_a_second("llm"), pace.tokens_a_second("other")
+        >>> pace.observe_prefill("llm", 6_000, 0.2); pace.observe_prefill("llm", 100, 5.0)
+        >>> pace.tokens_per_second("llm"), pace.tokens_per_second("other")
         (30000.0, 20000.0)
         """
         if service not in self._tokens:
--- a/src/corkcrank/scheduling/recent_prefixes.py
+++ b/src/corkcrank/scheduling/recent_prefixes.py
@@ -35,8 +35,11 @@
 
         >>> from corkcrank.contracts.opaque_call import PrefixPart
         >>> recent = RecentPrefixes()
-        >>> recent.add("w", PromptShape(parts=(PrefixPart("a", 5), PrefixPart("own", 9))), 0.0)
-        >>> len(recent.current(1.5, interval=2.0)), len(recent.current(1.5, interval=0.25))
+        >>> recent.record_prefix(
+        ...     "w", PromptShape(parts=(PrefixPart("a", 5), PrefixPart("own", 9))), 0.0
+        ... )
+        >>> len(recent.prefixes_to_report(1.5, interval=2.0)), len(
+        ...     recent.prefixes_to_report(1.5, interval=0.25))
         (1, 0)
         """
         report_seconds = max(MIN_REPORT_SECONDS, MIN_REPORT_INTERVALS * interval)
--- a/src/corkcrank/scheduling/return_times.py
+++ b/src/corkcrank/scheduling/return_times.py
@@ -20,9 +20,10 @@
         ``wait`` is the time in seconds until the group's next slot, ``rate`` its slots a second.
 
         >>> times = ReturnTimes()
-        >>> [times.next("g", 0.5, 2.0, now=10.0) for _ in range(3)]
+        >>> [times.next_return_seconds("g", 0.5, 2.0, now=10.0) for _ in range(3)]
         [0.5, 1.0, 1.5]
-        >>> times.next("g", 0.5, 2.0, now=20.0), times.next("g", 3.0, 0.0, now=20.0)
+        >>> times.next_return_seconds("g", 0.5, 2.0, now=20.0), times.next_return_seconds(
+        ...     "g", 3.0, 0.0, now=20.0)
         (0.5, 5.0)
         """
         at = max(now + wait, self._next.get(key, 0.0))
--- a/src/corkcrank/scheduling/stage_plan.py
+++ b/src/corkcrank/scheduling/stage_plan.py
@@ -58,9 +58,9 @@
         >>> chain = (StageDefinition("a"), StageDefinition("b"), StageDefinition("c", (1,)),
         ...     StageDefinition("d", (2,)))
         >>> plan = StagePlan(chain, (1, 1, 1, 1))
-        >>> plan.ready()
+        >>> plan.ready_stages()
         [1]
-        >>> plan.start(1); plan.finish(1, ("h1",)); plan.ready()
+        >>> plan.record_start(1); plan.record_results(1, ("h1",)); plan.ready_stages()
         [0, 2]
         """
         waiting = self.unstarted_stages()
--- a/src/corkcrank/scheduling/stream_times.py
+++ b/src/corkcrank/scheduling/stream_times.py
@@ -27,8 +27,8 @@
         """Update the estimate with the time that a complete stream took after its first event.
 
         >>> times = StreamTimes()
-        >>> times.learn("r", 100, 2.0); times.learn("r", 100, 1.0)
-        >>> round(times.of("r", 200), 2), times.of("unknown", 10)
+        >>> times.observe_stream("r", 100, 2.0); times.observe_stream("r", 100, 1.0)
+        >>> round(times.usual_seconds("r", 200), 2), times.usual_seconds("unknown", 10)
         (3.7, 0.1)
         """
         measured = seconds / max(1, tokens_out)
--- a/tests/scheduling/test_choices.py
+++ b/tests/scheduling/test_choices.py
@@ -141,13 +141,13 @@
     assert [event.event_id for event in events] == list(range(len(data)))
 
 
-class CountingPrefixMemory(PrefixCache):
-    """A prefix memory that counts the calls of ``used_since``."""
+class CountingPrefixCache(PrefixCache):
+    """A prefix cache that counts the calls of ``used_since``."""
 
     lookups = 0
 
     def used_since(self, part_id: str, since: float) -> bool:
-        CountingPrefixMemory.lookups += 1
+        CountingPrefixCache.lookups += 1
         return super().used_since(part_id, since)
 
 
@@ -157,8 +157,8 @@
         engines = [WorkerRecord(f"e{item}", "m", "", "z") for item in range(number)]
         chooser = EngineChooser()
         for engine in engines:
-            chooser._prefix_caches[engine.worker_id] = CountingPrefixMemory(10_000)
-        CountingPrefixMemory.lookups = 0
+            chooser._prefix_caches[engine.worker_id] = CountingPrefixCache(10_000)
+        CountingPrefixCache.lookups = 0
         question = EngineQuestion(prompt=PromptShape(parts=parts))
         assert len(chooser.rank(engines, question, WorkerStatisticsTable(), 1.0)) == number
-        assert CountingPrefixMemory.lookups <= 2 * len(parts) * number
+        assert CountingPrefixCache.lookups <= 2 * len(parts) * number
