--- a/src/corkcrank/scheduling/stage_backlog.py
+++ b/src/corkcrank/scheduling/stage_backlog.py
@@ -45,8 +45,8 @@
         """Add pieces that a call will request later.
 
         >>> backlog = StageBacklog()
-        >>> backlog.add("s", (0, 1), 3); backlog.take("s", (0, 1), 2)
-        >>> backlog.up_to("s", (0, 1)), backlog.up_to("s", (0, 0))
+        >>> backlog.add_expected("s", (0, 1), 3); backlog.subtract_expected("s", (0, 1), 2)
+        >>> backlog.pieces_up_to("s", (0, 1)), backlog.pieces_up_to("s", (0, 0))
         (1, 0)
         """
         self._pieces[service, rank] += pieces
@@ -71,7 +71,7 @@
         """Return the pieces per second that more urgent ranks request from a service.
 
         >>> backlog = StageBacklog()
-        >>> backlog.asked("s", (0, 0), 4, 0.0)
+        >>> backlog.record_requested("s", (0, 0), 4, 0.0)
         >>> backlog.rate_before("s", (0, 1), 0.0), backlog.rate_before("s", (0, 0), 0.0)
         (2.0, 0)
         """
--- a/src/corkcrank/scheduling/stage_choice.py
+++ b/src/corkcrank/scheduling/stage_choice.py
@@ -36,8 +36,9 @@
     """Pieces to be placed: their number, result size, inputs and reader.
 
     ``inputs`` gives the bytes that all pieces together read from each zone. ``reader_zone`` is
-    the zone in which the results will be read, if known. ``ahead`` returns the wait for the next
-    stage in a zone, since work runs where its large inputs are. Times are seconds from now.
+    the zone in which the results will be read, if known. ``next_stage_wait`` returns the wait for
+    the next stage in a zone, since work runs where its large inputs are. Times are seconds from
+    now.
     """
 
     service: str
--- a/tests/scheduling/test_fleet_play.py
+++ b/tests/scheduling/test_fleet_play.py
@@ -23,7 +23,7 @@
 from statistics import mean
 
 import pytest
-from fleet_play import Burst, SimulationScenario, SimulatedRoute, FleetSimulation, run_simulation
+from fleet_play import Burst, FleetSimulation, SimulatedRoute, SimulationScenario, run_simulation
 
 from corkcrank.contracts.opaque_configuration import (
     CallKind,
