--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -25,7 +25,7 @@
 
     A failed connection may have been reset on the network, or by a worker that still runs. So the
     gateway opens a new connection to the worker, and records a crash only if it is refused.
-    ``on_news`` is called when peers should receive an update at once.
+    ``on_update`` is called when peers should receive an update at once.
     """
 
     def __init__(
--- a/src/corkcrank/node/workers/worker_statements.py
+++ b/src/corkcrank/node/workers/worker_statements.py
@@ -20,7 +20,7 @@
 class WorkerStatements:
     """Reads the headers of every response of a worker and stores the rate limits that they state.
 
-    ``on_news`` is called when peers should receive an update soon.
+    ``on_update`` is called when peers should receive an update soon.
     """
 
     def __init__(self, codec: StatementCodec, log: DecisionLog, metrics: NodeMetrics) -> None:
