--- a/src/corkcrank/scheduling/peer_loads.py
+++ b/src/corkcrank/scheduling/peer_loads.py
@@ -21,14 +21,17 @@
         >>> worker_statistics = WorkerStatisticsTable(); peers = PeerLoads(worker_statistics)
         >>> peers.apply_peer_report("a", [CallLoad("w", 3, 70)])
         >>> peers.apply_peer_report("a", [CallLoad("w", 1)])
-        >>> worker_statistics.of("w").peers_in_flight, worker_statistics.of("w").peers_reading
+        >>> (
+        ...     worker_statistics.get_or_create("w").peers_in_flight,
+        ...     worker_statistics.get_or_create("w").peers_reading,
+        ... )
         (1, 0)
         """
         reported = {load.worker_id: load for load in loads}
         before = self._reported_by_peer.get(peer, {})
         for worker_id in {**reported, **before}:
             new, old = reported.get(worker_id, _NO_LOAD), before.get(worker_id, _NO_LOAD)
-            statistics = self._worker_statistics.of(worker_id)
+            statistics = self._worker_statistics.get_or_create(worker_id)
             statistics.peers_in_flight += new.in_flight - old.in_flight
             statistics.peers_reading += new.reading - old.reading
         self._reported_by_peer[peer] = reported
