--- a/src/corkcrank/machines/daemon.py
+++ b/src/corkcrank/machines/daemon.py
@@ -1,4 +1,4 @@
-"""What every daemon's program shares: serving addresses, signals, and the planned stop."""
+"""Functions that all daemon programs share: settings, served addresses, signals and shutdown."""
 
 import argparse
 import asyncio
@@ -14,14 +14,14 @@
 from corkcrank.contracts.settings import Settings, load_settings
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Most connections that may wait to be accepted."""
 
 EXIT_SETTINGS = 3
-"""Exit status of a daemon whose settings are wrong."""
+"""Exit status of a daemon whose settings are invalid."""
 
 
 class WorkerDump(msgspec.Struct, frozen=True):
-    """One back end in a dump."""
+    """One back end in a state dump."""
 
     worker: str
     service: str
@@ -32,7 +32,7 @@
 
 
 class MemberDump(msgspec.Struct, frozen=True):
-    """The part of a dump that every daemon has."""
+    """The part of a state dump that every daemon has."""
 
     name: str
     role: str
@@ -46,10 +46,10 @@
 
 
 def read_settings_or_exit(program: str, *, needs_caller_address: bool) -> Settings:
-    """Return the settings named on the command line, or print why they are wrong and exit.
+    """Return the settings named on the command line, or print why they are invalid and exit.
 
-    The standard library's parser serves here: the operators' one would add its own size
-    to every daemon.
+    Uses the standard library's parser: the operators' one would add its own size to every
+    daemon.
     """
     parser = argparse.ArgumentParser(prog=program)
     parser.add_argument("settings_file", type=Path, help="TOML settings of this process")
@@ -67,7 +67,7 @@
 
 
 def stop_on_signals() -> asyncio.Event:
-    """Return an event that is set by SIGTERM or SIGINT; a repeat changes nothing."""
+    """Return an event that is set by SIGTERM or SIGINT; repeated signals have no effect."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -76,7 +76,7 @@
 
 
 async def cancel_all(tasks: Sequence[asyncio.Task[None]]) -> None:
-    """Cancel tasks and wait until they have ended."""
+    """Cancel tasks and wait until all have ended."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/src/corkcrank/machines/daemon_links.py
+++ b/src/corkcrank/machines/daemon_links.py
@@ -1,4 +1,4 @@
-"""The connections that every daemon has: table, peers, back ends, and their traffic."""
+"""Connections that every daemon has: table, peers and back ends, with a count of their traffic."""
 
 import aiohttp
 
--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -1,8 +1,8 @@
-"""Membership of the gateways: who is alive, in which zone, and who owns a stage worker.
+"""Tracks the member gateways: which are alive, their zones, and which owns a stage worker.
 
-Members tell each other heartbeats by datagram. There is no coordinator: two members may
-disagree for about a second, and everything built on this view bears that. Pure: the time
-is handed in.
+Members send each other heartbeats by datagram. There is no coordinator: two members may
+disagree for about a second, and everything built on this view tolerates that. Does no I/O:
+callers pass the time.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,44 +15,45 @@
 from corkcrank.machines.store_contact import StoreContact, newer_contact
 
 HEARTBEAT_SECONDS = 0.25
-"""Time between heartbeats in a small fleet."""
+"""Interval between heartbeats in a small fleet."""
 
 HEARTBEAT_BYTES_A_SECOND = 25_000.0
-"""Most bytes of heartbeats that one member sends; larger fleets are told less often. Calls that
-older news would cost are worth more than the bytes."""
+"""Most bytes of heartbeats that one member sends. In larger fleets the interval is longer. The
+calls that older reports would cost are worth more than the bytes."""
 
 FULL_RATE_MEMBERS = 100
-"""Members up to which each sends that much. In a larger fleet each sends less, so that what a
-node reads and sends does not grow with the fleet."""
+"""Fleet size up to which each member sends the full rate. In a larger fleet each sends less, so
+that the bytes a node reads and sends do not grow with the fleet."""
 
 OWNER_BYTES_A_SECOND = 60_000.0
-"""The same for a member that owns queues or engines of its zone: what others decide by is
-theirs, and they are few. A fortieth of a link of 20 Mbit/s."""
+"""Most bytes of heartbeats sent by a member that owns queues or engines of its zone. Other members
+decide by the owners' reports, and owners are few. A fortieth of a link of 20 Mbit/s."""
 
 FIRST_HEARTBEAT_BYTES = 250.0
-"""Length of a heartbeat assumed before one was sent."""
+"""Heartbeat length that is assumed before the first one is sent."""
 
 LENGTH_WEIGHT = 0.05
-"""Weight of the newest heartbeat in the mean length."""
+"""Weight of the newest heartbeat in the moving average of lengths."""
 
 RUN_NOTE_SECONDS = 0.1
-"""Time between two notes that this process runs: less than half a heartbeat's interval, so
-that a note which is a little late is not taken for a pause."""
+"""Interval at which this process records that it is running. Less than half a heartbeat's
+interval, so that a slightly late record does not count as a pause."""
 
 PAUSE_SECONDS = HEARTBEAT_SECONDS
-"""A longer time without a note is a pause of this process; it counts as one missed heartbeat
-of each member, so that a dead one is suspected also by a process that pauses again and again."""
+"""A longer time without such a record is a pause of this process. A pause counts as one missed
+heartbeat of each member, so that a process that pauses repeatedly still suspects a dead member."""
 
 SMALLEST_FLEET = 4
-"""Members assumed for shares as long as fewer are known, e.g. right after a start."""
+"""Fleet size assumed for shares while fewer members are known, e.g. right after a start."""
 
 _NEVER = float("-inf")
 
 
 class Fleet:
-    """Every gateway known here.
+    """Every gateway that this one knows.
 
-    ``owns`` says that this one owns queues or engines of its zone, which others decide by.
+    ``owns`` is set while this gateway owns queues or engines of its zone. Other members then
+    decide by its reports.
     """
 
     def __init__(
@@ -65,124 +66,131 @@
         self.owns = False
         self._own_phase = Phase.STARTING
         self._members: dict[str, Member] = {}
-        self._unheard: dict[str, float] = {}
+        self._pending_addresses: dict[str, float] = {}
         self._heartbeat_bytes = FIRST_HEARTBEAT_BYTES
         self._store_contacts: dict[StoreTable, StoreContact] = {}
         self._view = FleetView(until=_NEVER)
-        self._told_version = 0
-        self._told_revision = 0
-        self._ran_at: float | None = None
-        self._paused = 0.0
+        self._highest_version = 0
+        self._highest_revision = 0
+        self._last_ran_at: float | None = None
+        self._pause_seconds = 0.0
 
     @property
     def own_phase(self) -> Phase:
-        """Return what this member does."""
+        """Return the phase of this member."""
         return self._own_phase
 
     @own_phase.setter
     def own_phase(self, phase: Phase) -> None:
         self._own_phase = phase
-        self._outdate_view()
+        self._invalidate_view()
 
     def introduce(self, addresses: Iterable[str], now: float) -> None:
-        """Take addresses of members that were not heard yet, from seeds or the store."""
+        """Add addresses, from seeds or the store, of members that sent no heartbeat yet."""
         heard = {member.heartbeat.address for member in self._members.values()}
         for address in addresses:
             if address != self.own_address and address not in heard:
-                self._unheard[address] = now
+                self._pending_addresses[address] = now
 
     def note_running(self, now: float) -> float:
-        """Note that this process runs; return the seconds of its pauses since the last note.
+        """Record that this process runs; return the seconds of its pauses since the last call.
 
-        A paused process hears nobody, and after the pause its timers may run before the
-        heartbeats that came meanwhile are read. Without these notes every silence counts.
+        A paused process receives no heartbeats, and after the pause its timers may run before
+        the heartbeats that arrived meanwhile are read. Without these records the whole silence
+        counts against each member.
         """
-        if self._ran_at is None:
-            self._ran_at = now
-        self._excuse_pause(now)
-        paused, self._paused = self._paused, 0.0
+        if self._last_ran_at is None:
+            self._last_ran_at = now
+        self._exclude_pause(now)
+        paused, self._pause_seconds = self._pause_seconds, 0.0
         return paused
 
-    def _excuse_pause(self, now: float) -> None:
-        """Excuse the members for a pause of this process that has just ended, if one has.
+    def _exclude_pause(self, now: float) -> None:
+        """Exclude a pause of this process that has just ended from the members' silence.
 
-        Whatever asks for the members' state first after a pause has to find it.
+        Each query of the members' state calls this first, as any of them may be the first
+        after a pause.
         """
-        if self._ran_at is None or now <= self._ran_at:
+        if self._last_ran_at is None or now <= self._last_ran_at:
             return
-        gap, self._ran_at = now - self._ran_at, now
+        gap, self._last_ran_at = now - self._last_ran_at, now
         if gap <= PAUSE_SECONDS:
             return
-        self._paused += gap
+        self._pause_seconds += gap
         for member in self._members.values():
             if not member.suspected(now - gap):
                 member.excuse(gap - PAUSE_SECONDS)
 
     def hear(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; return whether its sender is new or started anew."""
-        self._excuse_pause(now)
+        """Apply a heartbeat; return whether its sender is new or has restarted."""
+        self._exclude_pause(now)
         if heartbeat.name == self.own_name:
             return False
-        self._unheard.pop(heartbeat.address, None)
+        self._pending_addresses.pop(heartbeat.address, None)
         known = self._members.get(heartbeat.name)
         member = self._members[heartbeat.name] = Member(heartbeat, now)
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
             contact = newer_contact(self.store_contact(table), member.store_contact(table), now)
             self._store_contacts[table] = contact
-        self._told_version = max(self._told_version, heartbeat.configuration_version)
-        self._told_revision = max(self._told_revision, heartbeat.workers_revision)
+        self._highest_version = max(self._highest_version, heartbeat.configuration_version)
+        self._highest_revision = max(self._highest_revision, heartbeat.workers_revision)
         joined = known is None or known.heartbeat.incarnation != heartbeat.incarnation
-        self._note_in_view(known, member, joined=joined)
+        self._update_view(known, member, joined=joined)
         return joined
 
-    def _note_in_view(self, known: Member | None, heard: Member, *, joined: bool) -> None:
-        """Keep the view if a member that lives tells of the same phase as before."""
-        same = known is not None and known.heartbeat.phase == heard.heartbeat.phase
-        if joined or known is None or not same or heard.heartbeat.name not in self._view.live:
-            self._outdate_view()
+    def _update_view(self, known: Member | None, received: Member, *, joined: bool) -> None:
+        """Keep the view if a live member reports the same phase as before, else invalidate it."""
+        same_phase = known is not None and known.heartbeat.phase == received.heartbeat.phase
+        if (
+            joined
+            or known is None
+            or not same_phase
+            or received.heartbeat.name not in self._view.live
+        ):
+            self._invalidate_view()
         else:
-            self._view.replace(known, heard)
+            self._view.replace(known, received)
 
-    def _outdate_view(self) -> None:
+    def _invalidate_view(self) -> None:
         self._view.until = _NEVER
 
     def suspect(self, name: str) -> None:
-        """Suspect a member at once whose connection failed, until its next heartbeat."""
+        """Suspect a member after a connection failure, until its next heartbeat."""
         member = self._members.get(name)
         if member is not None:
             member.suspect()
-            self._outdate_view()
+            self._invalidate_view()
 
     def member(self, name: str) -> Member | None:
-        """Return a member that was heard."""
+        """Return a member that has sent a heartbeat, or ``None``."""
         return self._members.get(name)
 
     def suspected(self, name: str, now: float) -> bool:
         """Return whether a member is suspected, or is not known at all."""
-        self._excuse_pause(now)
+        self._exclude_pause(now)
         member = self._members.get(name)
         return member is None or member.suspected(now)
 
     def zone_of(self, name: str) -> str:
-        """Return the zone of a member, of this one too."""
+        """Return the zone of a member; the local zone for this or an unknown member."""
         member = self._members.get(name)
         return member.heartbeat.zone if member is not None else self.own_zone
 
     def confirmed_at(self, table: StoreTable) -> float:
-        """Return when the store last answered any other member about a table."""
+        """Return when the store last answered another member about a table."""
         return self.store_contact(table).heard_at
 
     def store_contact(self, table: StoreTable) -> StoreContact:
-        """Return the newest answer of the store that any other member told of."""
+        """Return the newest answer of the store that another member reported."""
         return self._store_contacts.get(table, StoreContact())
 
     def probe(self, name: str, now: float) -> str | None:
-        """Return the address of a member to probe now, if it is silent and not just probed.
+        """Return the address of a silent member that was not just probed, and record a probe.
 
-        Heartbeats come seldom in a large fleet. A member is probed by those that wait for
-        it, so its death is noticed after the same time whatever the fleet's size.
+        Heartbeats are rare in a large fleet. Members that wait for an answer of another probe
+        it, so its failure is detected after the same time whatever the fleet's size.
         """
-        self._excuse_pause(now)
+        self._exclude_pause(now)
         member = self._members.get(name)
         if member is None or not member.may_be_probed(now):
             return None
@@ -195,62 +203,65 @@
         return list(self.view(now).live.values())
 
     def audience(self, now: float) -> list[str]:
-        """Return the addresses that heartbeats go to; forgets the long silent."""
-        self._excuse_pause(now)
+        """Return the addresses that heartbeats go to; removes members that were silent too long."""
+        self._exclude_pause(now)
         for name in [key for key, item in self._members.items() if item.forgotten(now)]:
             del self._members[name]
-            self._outdate_view()
-        for address in [key for key, at in self._unheard.items() if now - at > FORGET_SECONDS]:
-            del self._unheard[address]
+            self._invalidate_view()
+        for address in [
+            key for key, at in self._pending_addresses.items() if now - at > FORGET_SECONDS
+        ]:
+            del self._pending_addresses[address]
         heard = [member.heartbeat.address for member in self._members.values()]
-        return heard + list(self._unheard)
+        return heard + list(self._pending_addresses)
 
     def interval(self) -> float:
-        """Return the time between own heartbeats, longer in a large fleet or with long ones."""
-        audience = len(self._members) + len(self._unheard)
-        rate = OWNER_BYTES_A_SECOND if self.owns else _member_rate(audience)
+        """Return the seconds between heartbeats; grows with the fleet and the heartbeat length."""
+        audience = len(self._members) + len(self._pending_addresses)
+        rate = OWNER_BYTES_A_SECOND if self.owns else _max_send_rate(audience)
         return max(HEARTBEAT_SECONDS, audience * self.heartbeat_bytes / rate)
 
     @property
     def heartbeat_bytes(self) -> float:
-        """Return the mean length of the heartbeats sent here, in bytes."""
+        """Return the average length of the heartbeats sent here, in bytes."""
         return self._heartbeat_bytes
 
     def note_heartbeat(self, length: int) -> None:
-        """Learn the mean length of the heartbeats that are sent, in bytes."""
+        """Update the average length of the heartbeats with one that was sent, in bytes."""
         self._heartbeat_bytes += LENGTH_WEIGHT * (length - self._heartbeat_bytes)
 
     def share_members(self) -> int:
-        """Return the members that shares are counted by: all known, silent ones too."""
+        """Return the number of members that shares are divided by; silent members count."""
         return max(SMALLEST_FLEET, len(self._members) + 1)
 
     def known_members(self) -> int:
-        """Return all gateways that are known to exist, also those that were not heard yet."""
-        return max(SMALLEST_FLEET, len(self._members) + len(self._unheard) + 1)
+        """Return the number of known gateways; those that sent no heartbeat yet count."""
+        return max(SMALLEST_FLEET, len(self._members) + len(self._pending_addresses) + 1)
 
     def zone_owner(self, zone: str, key: str, now: float) -> str:
-        """Return the member that decides about something in a zone, by its key.
+        """Return the member that decides about a key in a zone.
 
-        The serving members of the zone come first; without any, and for no zone, all serve.
+        The owner is a serving member of the zone. If the zone has none, or is empty, it is any
+        serving member.
         """
         return self.view(now).owner(zone, key) or self.own_name
 
     def reported_backlog(self, service: str, rank: tuple[int, int], now: float) -> int:
-        """Return the pieces up to a rank that the others' calls will still ask for."""
+        """Return the pieces up to a rank that the other members' calls will still request."""
         return self.view(now).backlogs.pieces_up_to(service, rank)
 
     def reported_rate_before(self, service: str, rank: tuple[int, int], now: float) -> float:
-        """Return the pieces a second that the others admit of more urgent ranks."""
+        """Return the pieces per second of more urgent ranks that the other members admit."""
         return self.view(now).backlogs.rate_before(service, rank)
 
     def view(self, now: float) -> FleetView:
-        """Return who lives and serves; the same object as long as that does not change."""
-        self._excuse_pause(now)
+        """Return the live and serving members; the same object until that changes."""
+        self._exclude_pause(now)
         if now > self._view.until:
-            self._view = self._work_out_view(now)
+            self._view = self._build_view(now)
         return self._view
 
-    def _work_out_view(self, now: float) -> FleetView:
+    def _build_view(self, now: float) -> FleetView:
         view = FleetView(until=float("inf"))
         for member in self._members.values():
             if not member.suspected(now):
@@ -261,36 +272,36 @@
 
     def ahead_in_configuration(self, version: int, now: float) -> Member | None:
         """Return the live member with the newest configuration, if newer than a version."""
-        if self._told_version <= version:
+        if self._highest_version <= version:
             return None
         return self._newest(version, lambda beat: beat.configuration_version, now)
 
     def ahead_in_workers(self, revision: int, now: float) -> Member | None:
         """Return the live member with the newest list of workers, if newer than a revision."""
-        if self._told_revision <= revision:
+        if self._highest_revision <= revision:
             return None
         return self._newest(revision, lambda beat: beat.workers_revision, now)
 
     def _newest(self, known: int, number: Callable[[Heartbeat], int], now: float) -> Member | None:
-        """Return the live member with the highest number above a known one, a near one first."""
+        """Return the live member with the highest number above a known one, same zone first."""
         live = self.live(now)
         highest = max((number(member.heartbeat) for member in live), default=known)
         if highest <= known:
             return None
         newest = [member for member in live if number(member.heartbeat) == highest]
-        return max(newest, key=self._nearness)
+        return max(newest, key=self._peer_preference)
 
-    def _nearness(self, member: Member) -> tuple[bool, int]:
-        """Order members by zone, then differently for each gateway: questions are spread."""
+    def _peer_preference(self, member: Member) -> tuple[bool, int]:
+        """Return a sort key: same zone first, then an order of each gateway to spread requests."""
         name = member.heartbeat.name
-        near = member.heartbeat.zone == self.own_zone
-        return near, rendezvous_weight(self.own_name, name)
+        same_zone = member.heartbeat.zone == self.own_zone
+        return same_zone, rendezvous_weight(self.own_name, name)
 
 
-def _member_rate(audience: int) -> float:
-    """Return the most bytes a second that a member sends which owns nothing.
+def _max_send_rate(audience: int) -> float:
+    """Return the most bytes per second that a member sends if it owns nothing.
 
-    >>> _member_rate(100), _member_rate(200)
+    >>> _max_send_rate(100), _max_send_rate(200)
     (25000.0, 12500.0)
     """
     return HEARTBEAT_BYTES_A_SECOND * min(1.0, FULL_RATE_MEMBERS / max(1, audience))
--- a/src/corkcrank/machines/fleet_view.py
+++ b/src/corkcrank/machines/fleet_view.py
@@ -1,8 +1,8 @@
-"""What follows from the members' heartbeats: who lives, who serves where, what is asked for.
+"""Summarizes the members' heartbeats: live members, serving members by zone, and backlogs.
 
-A view holds until somebody joins, leaves, is suspected or is heard again, and not for a
-fixed time: in a fleet of 195 where nothing changes, asking for it costs the same as in one
-of six. The loads that heartbeats tell are added up as they come.
+A view is valid until a member joins, leaves, is suspected or sends heartbeats again, and not
+for a fixed time: in a fleet of 195 where nothing changes, a query costs the same as in one
+of six. The backlogs are summed as heartbeats arrive.
 """
 
 from collections.abc import Iterable
@@ -15,24 +15,24 @@
 Rank = tuple[int, int]
 
 STRONG_SHARE = 0.7
-"""Part of the strongest member's strength from which a member counts as strong: machines of one
-kind are alike, and kinds differ by more."""
+"""Least share of the strongest member's strength that counts as strong. Machines of one kind are
+alike, and kinds differ by more."""
 
 
 class BacklogSums:
-    """Pieces and rates that members told, added up by stage service and rank."""
+    """Sums of the pieces and rates that members report, by stage service and rank."""
 
     def __init__(self) -> None:
         self._pieces: dict[str, dict[Rank, int]] = {}
         self._rates: dict[str, dict[Rank, float]] = {}
 
     def add(self, backlogs: Iterable[ServiceBacklog]) -> None:
-        """Add what a member's calls will still ask for."""
+        """Add the backlogs that a member reports."""
         for item in backlogs:
             self._add(item, 1)
 
     def remove(self, backlogs: Iterable[ServiceBacklog]) -> None:
-        """Take off what a member told before."""
+        """Subtract the backlogs that a member reported before."""
         for item in backlogs:
             self._add(item, -1)
 
@@ -53,23 +53,23 @@
         >>> sums.pieces_up_to("s", (0, 1)), sums.rate_before("s", (0, 2))
         (0, 0.0)
         """
-        told = self._pieces.get(service, {})
-        return sum(pieces for other, pieces in told.items() if other <= rank)
+        pieces_by_rank = self._pieces.get(service, {})
+        return sum(pieces for other, pieces in pieces_by_rank.items() if other <= rank)
 
     def rate_before(self, service: str, rank: Rank) -> float:
-        """Return the pieces a second of more urgent ranks."""
-        told = self._rates.get(service, {})
-        # Rounding may leave a little below zero of what was added and taken off.
-        return max(0.0, sum(rate for other, rate in told.items() if other < rank))
+        """Return the pieces per second of more urgent ranks."""
+        rates_by_rank = self._rates.get(service, {})
+        # Rounding of added and subtracted rates may leave a sum slightly below zero.
+        return max(0.0, sum(rate for other, rate in rates_by_rank.items() if other < rank))
 
 
 @dataclass(slots=True)
 class FleetView:
-    """Who lives and serves, until ``until`` at most on the own clock.
+    """Live and serving members, valid until ``until`` of the local clock at most.
 
-    ``live`` are the other members that are not suspected, by name; ``serving`` lists
-    those that serve by zone, this one included, and ``all_serving`` all of them, with their
-    ``strengths`` in processors.
+    ``live`` holds the other members that are not suspected, by name. ``serving`` lists the
+    serving members by zone, this one included, and ``all_serving`` lists all of them.
+    ``strengths`` are in processors, by name.
     """
 
     until: float
@@ -81,7 +81,7 @@
     _owners: dict[tuple[str, str], str] = field(default_factory=dict)
 
     def add(self, member: Member) -> None:
-        """Count a member that lives."""
+        """Add a live member and its backlogs."""
         beat = member.heartbeat
         self.live[beat.name] = member
         self.backlogs.add(beat.backlogs)
@@ -89,28 +89,28 @@
         if beat.phase == Phase.SERVING:
             self.add_serving(beat.name, beat.zone, beat.strength)
 
-    def replace(self, known: Member, heard: Member) -> None:
-        """Take a newer heartbeat of a member that was counted, and serves as before."""
-        self.live[heard.heartbeat.name] = heard
+    def replace(self, known: Member, received: Member) -> None:
+        """Replace the heartbeat of a live member whose phase has not changed."""
+        self.live[received.heartbeat.name] = received
         self.backlogs.remove(known.heartbeat.backlogs)
-        self.backlogs.add(heard.heartbeat.backlogs)
-        self.note_deadline(heard)
+        self.backlogs.add(received.heartbeat.backlogs)
+        self.note_deadline(received)
 
     def note_deadline(self, member: Member) -> None:
-        """Hold only until the member would be suspected."""
+        """Limit the validity of the view to when the member would be suspected."""
         self.until = min(self.until, member.suspected_at)
 
     def add_serving(self, name: str, zone: str, strength: float) -> None:
-        """Count a member that serves; ``strength`` is in processors, 0 if it is not known."""
+        """Add a serving member; ``strength`` is in processors, 0 if unknown."""
         self.serving.setdefault(zone, []).append(name)
         self.all_serving.append(name)
         self.strengths[name] = strength
 
     def owner(self, zone: str, key: str) -> str | None:
-        """Return the member that decides about something in a zone, if any serves.
+        """Return the member that decides about a key in a zone, or ``None`` if none serves.
 
-        One of the strong ones: an owner answers for all calls of its zone, and each of them
-        waits for its processor and its link.
+        Only strong members are chosen: an owner handles all calls of its zone, and each call
+        waits for the owner's processor and link.
         """
         owner = self._owners.get((zone, key))
         if owner is not None:
@@ -118,8 +118,8 @@
         names = self.serving.get(zone) or self.all_serving
         if not names:
             return None
-        least = STRONG_SHARE * max(self.strengths[name] for name in names)
-        strong = [name for name in names if self.strengths[name] >= least]
+        min_strength = STRONG_SHARE * max(self.strengths[name] for name in names)
+        strong = [name for name in names if self.strengths[name] >= min_strength]
         owner = max(strong, key=lambda name: rendezvous_weight(key, name))
         self._owners[zone, key] = owner
         return owner
--- a/src/corkcrank/machines/heartbeat.py
+++ b/src/corkcrank/machines/heartbeat.py
@@ -1,4 +1,4 @@
-"""What the gateways tell each other about themselves, several times a second."""
+"""Messages that the gateways send each other about their state, several times a second."""
 
 from enum import IntEnum
 
@@ -14,7 +14,7 @@
 
 
 class Phase(IntEnum):
-    """What a member does."""
+    """State of a member process."""
 
     STARTING = 0
     SERVING = 1
@@ -22,10 +22,10 @@
 
 
 class StageLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner tells of one stage worker.
+    """Load of one stage worker, as its owner reports it.
 
-    ``free_seconds`` is when a piece would start that goes before all that wait, and
-    ``starts`` when one of each waiting rank would, queued last of it.
+    ``free_seconds`` is when a piece ahead of all waiting pieces would start. ``starts`` gives
+    for each waiting rank when a piece queued last of that rank would start.
     """
 
     worker_id: str
@@ -46,7 +46,7 @@
 
 
 class CallLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A member's own calls in flight at one worker, and their prompt tokens unread."""
+    """Calls of one member in flight at one worker, and their unread prompt tokens."""
 
     worker_id: str
     in_flight: int
@@ -54,16 +54,16 @@
 
 
 class SentPrefix(msgspec.Struct, frozen=True, array_like=True):
-    """Shared parts of a prompt, as id and tokens, that a member sent to an engine."""
+    """Shared parts of a prompt that a member sent to an engine, as pairs of id and tokens."""
 
     worker_id: str
     parts: tuple[tuple[str, int], ...]
 
 
 class ServiceBacklog(msgspec.Struct, frozen=True, array_like=True):
-    """Pieces that a member's admitted calls will still ask of a stage service.
+    """Pieces that a member's admitted calls will still request from a stage service.
 
-    ``rate`` is how many a second it admitted lately.
+    ``rate`` is the number of pieces per second that it admitted recently.
     """
 
     service: str
@@ -73,14 +73,14 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """What a member tells the others; ``address`` is where it takes peers' calls.
-
-    The contacts are the newest answers of the store about each table that the sender knows
-    of. ``probe`` asks the receiver for its heartbeat. ``strength`` is the processor time that
-    the sender may use, in usual processors; 0 if it does not know. ``outcomes`` are those of
-    its calls at workers that failed some, ``trials`` the attempts of requests on probation,
-    ``zone_states`` tells the zones that were ever evacuated, ``limits`` the rates that workers
-    name, and ``crashes`` the workers that ended, each with all requests that it had.
+    """State that a member sends to the others; ``address`` is where it accepts peers' calls.
+
+    The contacts are the newest answers of the store about each table that the sender knows.
+    ``probe`` asks the receiver for its heartbeat. ``strength`` is the processor time that the
+    sender may use, in usual processors; 0 if unknown. ``outcomes`` are those of its calls at
+    workers that failed some calls. ``trials`` are the attempts of requests on probation.
+    ``zone_states`` lists the zones that were ever evacuated. ``limits`` are the rates that
+    workers state. ``crashes`` are the workers that crashed, each with all requests it had.
     """
 
     name: str
--- a/src/corkcrank/machines/heartbeat_codec.py
+++ b/src/corkcrank/machines/heartbeat_codec.py
@@ -1,8 +1,8 @@
-"""Heartbeats as datagrams: packed, compressed, and never longer than a datagram may be.
+"""Encodes heartbeats as datagrams: packed, compressed, and never above the datagram limit.
 
-What a heartbeat tells of loads grows with a member's work. If it does not fit, the least
-needed goes first: prefixes, then calls in flight, the smallest counts first; a member that
-is not heard at all would be taken for dead.
+The loads in a heartbeat grow with a member's work. If it does not fit, the least needed data
+is dropped first: prefixes, then calls in flight, the smallest counts first. A member whose
+heartbeats do not arrive at all would be suspected as dead.
 """
 
 import zlib
@@ -13,19 +13,19 @@
 from corkcrank.machines.heartbeat import Heartbeat
 
 COMPRESSION_LEVEL = 1
-"""Ids are most of a heartbeat; higher levels save one byte in a hundred more."""
+"""Compression level of zlib. Ids are most of a heartbeat; higher levels save 1 more byte in 100."""
 
 MAXIMUM_HEARTBEAT_BYTES = 65_536
-"""Longest heartbeat that is unpacked."""
+"""Most bytes to which a received heartbeat is decompressed."""
 
 ALWAYS_PACKED = Heartbeat.__struct_fields__.index("trials")
-"""Fields that are packed whatever they tell; those behind them tell of what is rare."""
+"""Number of leading fields that are always packed; the fields after them are rarely set."""
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Return a datagram; what does not fit is left out.
+    """Return a heartbeat as a datagram, without the data that does not fit.
 
     >>> beat = Heartbeat("n", 1, "z", "10.0.0.1:1", 1, 0.25)
     >>> decode_heartbeat(encode_heartbeat(beat)) == beat
@@ -33,7 +33,7 @@
     """
     data = _pack(heartbeat)
     while len(data) > MAXIMUM_DATAGRAM_BYTES:
-        shorter = _shortened(heartbeat)
+        shorter = _reduced(heartbeat)
         if shorter == heartbeat:
             break
         heartbeat, data = shorter, _pack(shorter)
@@ -50,9 +50,9 @@
 
 
 def _pack(heartbeat: Heartbeat) -> bytes:
-    """Pack the fields in order, without the last ones where they tell nothing.
+    """Pack the fields in order, without trailing fields that are empty.
 
-    Each byte of a heartbeat is sent to every member.
+    Each byte of a heartbeat is sent to every member, so bytes that say nothing are left out.
     """
     fields = msgspec.structs.astuple(heartbeat)
     while len(fields) > ALWAYS_PACKED and not fields[-1]:
@@ -60,8 +60,8 @@
     return zlib.compress(msgspec.msgpack.encode(fields), COMPRESSION_LEVEL)
 
 
-def _shortened(heartbeat: Heartbeat) -> Heartbeat:
-    """Return a heartbeat that tells half of what is needed least, the newest or largest."""
+def _reduced(heartbeat: Heartbeat) -> Heartbeat:
+    """Return a heartbeat with half of its least needed data, the newest or largest half."""
     if heartbeat.prefixes:
         kept = heartbeat.prefixes[(len(heartbeat.prefixes) + 1) // 2 :]
         return msgspec.structs.replace(heartbeat, prefixes=kept)
--- a/src/corkcrank/machines/load_view.py
+++ b/src/corkcrank/machines/load_view.py
@@ -1,4 +1,4 @@
-"""A gateway's view of the back ends: directory, lagged loads, own calls and own failures."""
+"""A gateway's view of the back ends: directory, delayed loads, and its local calls and failures."""
 
 from bisect import bisect_right
 from collections.abc import Collection, Iterable
@@ -10,13 +10,13 @@
 from corkcrank.zones.digest import Directory, WorkerLoad
 
 SUSPECT_SECONDS = 1.0
-"""Time for which a back end that failed a call is avoided if others remain."""
+"""Time for which a back end is avoided after a failed call, if others remain."""
 
 REPORT_AGE_SECONDS = 1.5
-"""Usual age of a load when a gateway gets it: report lag, heartbeat and digest."""
+"""Usual age of a load when a gateway receives it: report lag, heartbeat and digest."""
 
 DEFAULT_SLOTS = 8
-"""Slots assumed of a back end that has not reported yet."""
+"""Slots assumed for a back end that has not reported yet."""
 
 
 @dataclass(slots=True)
@@ -36,25 +36,25 @@
 
     @property
     def own_in_flight(self) -> int:
-        """Return the number of own calls in flight."""
+        """Return the number of local calls in flight."""
         return len(self.own_starts)
 
     @property
     def load(self) -> float:
-        """Return reported calls plus own calls sent since the report was sampled.
+        """Return the reported calls plus the local calls sent since the report was sampled.
 
-        The report already counts the own calls that were in flight then.
+        The report already counts the local calls that were in flight then.
         """
         since = len(self.own_starts) - bisect_right(self.own_starts, self.sampled_at)
         return self.reported_running + self.reported_waiting + since
 
 
 class LoadView:
-    """Every back end known here.
+    """Every back end that this gateway knows.
 
-    A back end seen leaving stays so until the list no longer has it or it restarted
-    under a new boot id: an older list or report never turns it back to live. ``known``
-    is false until the first directory has come.
+    A back end that was reported as leaving stays so until the list no longer has it or it
+    restarted under a new boot id. An older list or report never makes it live again.
+    ``known`` is false until the first directory has been received.
     """
 
     def __init__(self, zone: str) -> None:
@@ -65,7 +65,7 @@
         self.known = False
 
     def apply_directory(self, directory: Directory) -> None:
-        """Take a directory unless it is older than the one known."""
+        """Apply a directory unless it is older than the known one."""
         if directory.list_version < self._list_version:
             return
         self.known = True
@@ -80,7 +80,7 @@
             self._by_service.setdefault(view.entry.service, []).append(view)
 
     def apply_loads(self, loads: Iterable[WorkerLoad], now: float) -> None:
-        """Take newly reported loads."""
+        """Apply newly reported loads."""
         for load in loads:
             view = self._workers.get(load.worker)
             if view is None:
@@ -89,29 +89,29 @@
             view.reported_waiting = load.waiting
             view.slots = load.slots
             view.models = load.models
-            view.leaving = view.leaving or _says_leaving(load, view.entry)
+            view.leaving = view.leaving or _reports_leaving(load, view.entry)
             view.sampled_at = now - REPORT_AGE_SECONDS
             view.reported = True
 
     def mark_suspect(self, worker: WorkerId, now: float) -> None:
-        """Avoid a back end that failed a call."""
+        """Avoid a back end that failed a call for ``SUSPECT_SECONDS``."""
         view = self._workers.get(worker)
         if view is not None:
             view.suspect_until = now + SUSPECT_SECONDS
 
     def address(self, worker: WorkerId) -> Address | None:
-        """Return where a back end listens."""
+        """Return the address where a back end listens, or ``None`` if it is unknown."""
         view = self._workers.get(worker)
         return Address(view.entry.address) if view is not None else None
 
     def call_started(self, worker: WorkerId, now: float) -> None:
-        """Count a call sent to a back end at ``now``."""
+        """Record a call that is sent to a back end at ``now``."""
         view = self._workers.get(worker)
         if view is not None:
             view.own_starts.append(now)
 
     def call_ended(self, worker: WorkerId, started: float) -> None:
-        """Count the call that was sent at ``started`` as over."""
+        """Record the end of the call that was sent at ``started``."""
         view = self._workers.get(worker)
         if view is not None and started in view.own_starts:
             view.own_starts.remove(started)
@@ -123,9 +123,9 @@
         model: str = "",
         excluded: Collection[WorkerId] = (),
     ) -> list[Candidate]:
-        """Return the back ends that may take a call, nearest first choice only.
+        """Return the back ends that may take a call.
 
-        Back ends of the own zone are preferred while one of them has a free slot.
+        These are only the back ends of the local zone while one of them has a free slot.
         """
         views = [
             view
@@ -135,10 +135,10 @@
             and (not model or not view.reported or model in view.models)
         ]
         healthy = [view for view in views if view.suspect_until <= now]
-        return _nearest([self._candidate(view) for view in healthy or views])
+        return _prefer_same_zone([self._candidate(view) for view in healthy or views])
 
     def workers(self) -> tuple[WorkerView, ...]:
-        """Return every back end, for dumps."""
+        """Return every back end, for state dumps."""
         return tuple(self._workers.values())
 
     def _candidate(self, view: WorkerView) -> Candidate:
@@ -154,17 +154,17 @@
     return previous
 
 
-def _says_leaving(load: WorkerLoad, entry: WorkerEntry) -> bool:
-    """Return whether a load says that the listed incarnation is leaving.
+def _reports_leaving(load: WorkerLoad, entry: WorkerEntry) -> bool:
+    """Return whether a load reports that the listed incarnation is leaving.
 
-    Reports of an incarnation that has ended are told for a second or two after the list shows the
-    next one, which would then be shut out until it starts again.
+    Reports of an ended incarnation still arrive for a second or two after the list shows the
+    next one. If they counted, the next one would get no calls until it starts again.
     """
     return load.leaving and load.boot in ("", entry.boot)
 
 
-def _nearest(candidates: list[Candidate]) -> list[Candidate]:
-    near = [candidate for candidate in candidates if candidate.distance == 0]
-    if any(candidate.pressure < 1.0 for candidate in near):
-        return near
+def _prefer_same_zone(candidates: list[Candidate]) -> list[Candidate]:
+    same_zone = [candidate for candidate in candidates if candidate.distance == 0]
+    if any(candidate.pressure < 1.0 for candidate in same_zone):
+        return same_zone
     return candidates
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -1,7 +1,7 @@
-"""A daemon as a member of its zone: configuration, heartbeats, digests.
+"""Runs a daemon as a member of its zone: configuration, heartbeats, digests.
 
-:class:`~corkcrank.machines.member_view.MemberView` decides; :class:`MemberAgent` carries
-out. Gateways and controllers both are members.
+:class:`~corkcrank.machines.member_view.MemberView` makes the decisions; :class:`MemberAgent`
+does the I/O. Gateways and controllers are both members.
 """
 
 import asyncio
@@ -36,23 +36,23 @@
 from corkcrank.zones.zone_state import SHORTEST_INTERVAL_SECONDS
 
 REFRESH_SECONDS = 1.0
-"""Time between reads of the configuration's head."""
+"""Interval between reads of the configuration's head."""
 
-PEERS_ASKED = 2
-"""Peers asked in turn when the holder or the table gives no answer."""
+MAX_PEERS_ASKED = 2
+"""Most peers asked one after the other if the holder or the table does not answer."""
 
-MEMBERS_KNOWN_ASKED = 8
-"""Members of the last membership that may be asked beside the seeds."""
+MAX_KNOWN_MEMBERS_ASKED = 8
+"""Most members of the last membership that may be asked in addition to the seeds."""
 
-PULL_SPREAD = (0.5, 1.5)
-"""Bounds of the random factor of the pause before a digest is pulled again."""
+PULL_JITTER = (0.5, 1.5)
+"""Bounds of the random factor on the pause before a digest is pulled again."""
 
-SHORTEST_PAUSE_SECONDS = 0.05
-"""Least pause between two rounds, however long the first one took."""
+MIN_PAUSE_SECONDS = 0.05
+"""Shortest pause between two rounds, regardless of how long the first one took."""
 
 
 class MemberAgent:
-    """Carries out what a member does each second."""
+    """Performs the periodic I/O of a member."""
 
     def __init__(self, settings: Settings, role: str, table: Table, peers: PeerClient) -> None:
         self.settings = settings
@@ -61,14 +61,14 @@
         self.peers = peers
         self.view = MemberView(settings.process.zone)
         self.on_digest: Callable[[ZoneDigest], None] = lambda digest: None
-        self.before_heartbeat: Callable[[], Awaitable[None]] = _nothing
+        self.before_heartbeat: Callable[[], Awaitable[None]] = _no_operation
         self.reports: Callable[[], tuple[LoadReport, ...]] = lambda: ()
         self._log = PartLog("member")
         self._random = random.Random(settings.process.name)
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching = False
         self._relay = Relay(settings.process.name, self.view, peers)
-        self._told_holder = Address("")
+        self._reported_holder = Address("")
         self._next_pull_at = clock.now() + DIGEST_STALE_SECONDS
         self._interval = SHORTEST_INTERVAL_SECONDS
 
@@ -80,18 +80,18 @@
         while True:
             started = clock.now()
             await self.refresh()
-            await self._pull_if_stale()
-            await asyncio.sleep(_rest(started, REFRESH_SECONDS))
+            await self._pull_digest_if_stale()
+            await asyncio.sleep(_pause_before_next_round(started, REFRESH_SECONDS))
 
     async def _run_heartbeats(self) -> None:
         while True:
             started = clock.now()
             await self.before_heartbeat()
             await self.send_heartbeat()
-            await asyncio.sleep(_rest(started, self._interval))
+            await asyncio.sleep(_pause_before_next_round(started, self._interval))
 
     def answer_heartbeat(self, data: bytes) -> HeartbeatReply:
-        """Answer a heartbeat at a daemon that holds no zone."""
+        """Return the reply to a heartbeat at a daemon that does not hold a zone."""
         heartbeat = decode_heartbeat(data)
         return HeartbeatReply(
             configuration_version=self.view.adoption.announced_version,
@@ -100,7 +100,7 @@
         )
 
     def holder_for(self, zone: str) -> Address:
-        """Return the holder's address if it is known and of this zone, else an empty one."""
+        """Return the address of a zone's holder; empty unless it is the local zone and known."""
         lease = self.view.lease
         return lease.address if lease is not None and zone == self.view.zone else Address("")
 
@@ -119,21 +119,21 @@
         await self.fetch_wanted(None)
 
     async def _confirm_with_peer(self) -> None:
-        """Ask some peer for the committed version while the table is away."""
+        """Ask a peer for the committed version while the table is unreachable."""
         addresses = self._peer_addresses(None)
         self._random.shuffle(addresses)
-        for address in addresses[:PEERS_ASKED]:
-            if await self._beat(address, ()):
+        for address in addresses[:MAX_PEERS_ASKED]:
+            if await self._send_heartbeat_to(address, ()):
                 return
 
-    async def fetch_wanted(self, teller: Address | None) -> None:
-        """Fetch and adopt a newer configuration, from the table or else from peers."""
+    async def fetch_wanted(self, reporter: Address | None) -> None:
+        """Fetch and adopt a newer configuration from the table, or from peers if that fails."""
         version = self.view.adoption.wanted_version
         if version is None or self._fetching:
             return
         self._fetching = True
         try:
-            configuration = await self._fetch(version, teller)
+            configuration = await self._fetch_configuration(version, reporter)
         finally:
             self._fetching = False
         if configuration is None:
@@ -141,24 +141,26 @@
         if self.view.adoption.adopt(configuration, clock.now()):
             self._log.info("Configuration adopted.", version=configuration.version)
 
-    async def _fetch(self, version: int, teller: Address | None) -> Configuration | None:
+    async def _fetch_configuration(
+        self, version: int, reporter: Address | None
+    ) -> Configuration | None:
         outcome = await self.table.read((table_keys.configuration_document(version),))
         if not isinstance(outcome, Unanswered) and outcome.rows[0].value is not None:
             return decode_configuration(outcome.rows[0].value.encode())
-        for address in self._peer_addresses(teller):
+        for address in self._peer_addresses(reporter):
             configuration = await self.peers.configuration(address, version)
             if configuration is not None and configuration.version >= version:
                 return configuration
         return None
 
     async def send_heartbeat(self) -> None:
-        """Tell the holder that this daemon lives; a peer if there is none."""
+        """Send a heartbeat to the holder, or to a peer if there is none or it does not answer."""
         reports = self.reports()
         for address in self._heartbeat_targets():
-            if await self._beat(address, reports):
+            if await self._send_heartbeat_to(address, reports):
                 break
 
-    async def _beat(self, address: Address, reports: tuple[LoadReport, ...]) -> bool:
+    async def _send_heartbeat_to(self, address: Address, reports: tuple[LoadReport, ...]) -> bool:
         heartbeat = Heartbeat(
             member=self.settings.process.name,
             role=self.role,
@@ -171,7 +173,7 @@
         reply = await self.peers.heartbeat(address, heartbeat)
         if reply is None:
             return False
-        self._told_holder = reply.holder_address or self._told_holder
+        self._reported_holder = reply.holder_address or self._reported_holder
         if reply.holder:
             self._interval = reply.interval_seconds
         self.view.adoption.confirm(reply.configuration_version, asked_at)
@@ -179,10 +181,10 @@
         return True
 
     def hear_encoded_digest(self, data: bytes) -> DigestReply:
-        """Take a digest pushed by a peer, act on it, and pass it on.
+        """Apply a digest that a peer pushed, call ``on_digest``, and relay it.
 
-        A digest whose directory is not known here changes nothing; the reply names the
-        directory held, so the sender sends the digest again with the directory enclosed.
+        A digest whose directory is unknown here changes nothing. The reply names the known
+        directory, so the sender sends the digest again with its directory enclosed.
         """
         digest = decode_digest(data, self.view.tables)
         if digest.zone == self.view.zone and self.view.hear_digest(digest, clock.now()):
@@ -197,23 +199,23 @@
         )
 
     def publish(self, digest: ZoneDigest, tables: KnownTables) -> None:
-        """Take this daemon's own digest as the holder, and send it down the relay tree."""
+        """Apply this daemon's own digest as the holder, and send it down the relay tree."""
         enclosed = msgspec.structs.replace(
             digest, directory=tables.directory, membership=tables.membership
         )
         if self.view.hear_digest(enclosed, clock.now()):
             self.on_digest(enclosed)
-            # The holder has a place of its own in the tree as well: what lies below that
-            # is served when the digest comes back to it.
+            # The holder also has a position in the tree. The members below that position get
+            # the digest when it comes back to the holder.
             self._spawn(self._relay.send_below(digest, ROOT))
 
-    async def _pull_if_stale(self) -> None:
-        # A new member waits as well: the holder's next digest brings it everything, unless
-        # there is no holder. The pause is spread, so that a zone's members do not pull at once.
+    async def _pull_digest_if_stale(self) -> None:
+        # A new member waits as well: the holder's next digest contains everything, unless
+        # there is no holder. Jitter on the pause keeps a zone's members from pulling at once.
         now = clock.now()
         if not self.view.digest_is_stale(now) or now < self._next_pull_at:
             return
-        self._next_pull_at = now + DIGEST_STALE_SECONDS * self._random.uniform(*PULL_SPREAD)
+        self._next_pull_at = now + DIGEST_STALE_SECONDS * self._random.uniform(*PULL_JITTER)
         await self._pull_digest()
 
     async def _pull_digest(self) -> None:
@@ -228,10 +230,10 @@
             except PeerDecodeError:
                 continue
             if digest.zone == self.view.zone or not self.view.tables.directory.workers:
-                self._take_pulled(digest)
+                self._apply_pulled_digest(digest)
                 return
 
-    def _take_pulled(self, digest: ZoneDigest) -> None:
+    def _apply_pulled_digest(self, digest: ZoneDigest) -> None:
         if digest.directory is None:
             return
         if digest.zone == self.view.zone and not self.view.hear_digest(digest, clock.now()):
@@ -240,19 +242,19 @@
 
     def _heartbeat_targets(self) -> list[Address]:
         targets: list[Address] = []
-        holder = self.view.lease.address if self.view.lease is not None else self._told_holder
+        holder = self.view.lease.address if self.view.lease is not None else self._reported_holder
         if holder:
             targets.append(holder)
         others = self._peer_addresses(None)
         self._random.shuffle(others)
-        return targets + others[:PEERS_ASKED]
+        return targets + others[:MAX_PEERS_ASKED]
 
     def _peer_addresses(self, first: Address | None) -> list[Address]:
         known = [entry.address for entry in self.view.tables.membership.members]
         ordered = [
             *([first] if first else []),
             *self.settings.peers.seeds,
-            *known[:MEMBERS_KNOWN_ASKED],
+            *known[:MAX_KNOWN_MEMBERS_ASKED],
         ]
         own = self.settings.process.peer_address
         return list(dict.fromkeys(address for address in ordered if address != own))
@@ -263,14 +265,14 @@
         task.add_done_callback(self._tasks.discard)
 
 
-async def _nothing() -> None:
+async def _no_operation() -> None:
     """Do nothing."""
 
 
-def _rest(started: float, interval: float) -> float:
-    return max(SHORTEST_PAUSE_SECONDS, interval - (clock.now() - started))
+def _pause_before_next_round(started: float, interval: float) -> float:
+    return max(MIN_PAUSE_SECONDS, interval - (clock.now() - started))
 
 
 def head_version(head: Row) -> int:
-    """Return the version named by the configuration's head row; zero when absent."""
+    """Return the version in the configuration's head row, or 0 if the row is absent."""
     return int(head.value) if head.value is not None else 0
--- a/src/corkcrank/machines/member_dump.py
+++ b/src/corkcrank/machines/member_dump.py
@@ -1,4 +1,4 @@
-"""The part of a state dump that every daemon has."""
+"""Builds the part of a state dump that every daemon has."""
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.process_life import ProcessLife
@@ -7,7 +7,7 @@
 
 
 def dump_member(agent: MemberAgent, life: ProcessLife) -> MemberDump:
-    """Return what a daemon knows as a member of its zone."""
+    """Return the state of a daemon as a member of its zone."""
     now = clock.now()
     view = agent.view
     return MemberDump(
--- a/src/corkcrank/machines/member_view.py
+++ b/src/corkcrank/machines/member_view.py
@@ -1,4 +1,4 @@
-"""What one daemon knows as a member of its zone; decides, and does no I/O."""
+"""State of one daemon as a member of its zone, and decisions on it. Does no I/O."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 
 
 class MemberView:
-    """What one member knows of its zone."""
+    """State of a zone as one member knows it."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
@@ -28,18 +28,18 @@
         return max(1, self.digest.gateways) if self.digest is not None else 1
 
     def hear_digest(self, digest: ZoneDigest, now: float) -> bool:
-        """Take a digest unless it is older than the one known; return whether it counts."""
+        """Apply a digest unless it is older than the known one; return whether it was applied."""
         self.adoption.announce(digest.configuration_version)
         if self.digest is not None and digest.order_key < self.digest.order_key:
             return False
-        self._take_tables(digest)
+        self._apply_tables(digest)
         if digest.directory_hash != self.tables.directory_hash:
             return False
         self.digest = digest
         self.digest_at = now
         return True
 
-    def _take_tables(self, digest: ZoneDigest) -> None:
+    def _apply_tables(self, digest: ZoneDigest) -> None:
         if digest.directory is not None:
             self.tables = dataclasses.replace(
                 self.tables, directory=digest.directory, directory_hash=digest.directory_hash
@@ -50,18 +50,18 @@
             )
 
     def missing_from(self, reply: DigestReply, digest: ZoneDigest) -> Enclosures:
-        """Return what the receiver of a digest lacks."""
+        """Return the tables that the receiver of a digest lacks, by its reply."""
         return Enclosures(
             directory=reply.directory_hash != digest.directory_hash,
             membership=reply.membership_hash != digest.membership_hash,
         )
 
     def digest_is_stale(self, now: float) -> bool:
-        """Return whether the last digest is too old to wait for the next."""
+        """Return whether the last digest is too old to wait for the next one."""
         return self.digest_at is None or now - self.digest_at > DIGEST_STALE_SECONDS
 
     def position(self, member: str) -> int | None:
-        """Return the member's place in the relay tree."""
+        """Return the member's position in the relay tree, or ``None`` if it is not listed."""
         for number, entry in enumerate(self.tables.membership.members):
             if entry.member == member:
                 return number
--- a/src/corkcrank/machines/members.py
+++ b/src/corkcrank/machines/members.py
@@ -1,6 +1,6 @@
-"""What one gateway holds of another: its last heartbeat, and whether it is suspected.
+"""State that a gateway keeps about another: its last heartbeat, and whether it is suspected.
 
-Pure: times are of the own clock and are handed in.
+Does no I/O: callers pass times of the local clock.
 """
 
 from dataclasses import dataclass
@@ -10,28 +10,28 @@
 from corkcrank.machines.store_contact import ReportedStoreContact
 
 SUSPECT_HEARTBEATS = 4.0
-"""A member is suspected after this many heartbeats without a word."""
+"""Number of heartbeat intervals without a heartbeat after which a member is suspected."""
 
 PROBE_SECONDS = 0.25
-"""Time between probes of a silent member that this one waits for."""
+"""Interval between probes of a silent member from which this one waits for an answer."""
 
 PROBED_AFTER_SECONDS = 0.6
-"""A member that this one waits for is probed after this silence."""
+"""Silence after which a member from which this one waits for an answer is probed."""
 
 PROBE_PATIENCE_SECONDS = 1.0
-"""A member is suspected if this long after the first probe there is no word of it."""
+"""Time after the first probe without a heartbeat after which a member is suspected."""
 
 FORGET_SECONDS = 60.0
-"""A silent member is still told heartbeats for this long, so that a cut heals."""
+"""Time for which heartbeats still go to a silent member, so that a network partition heals."""
 
 
 @dataclass(slots=True)
 class Member:
-    """Another gateway as heard last.
+    """Another gateway and its last heartbeat.
 
-    ``probed_at`` is when it was first probed since it was heard, ``next_probe_at`` when
-    it may be probed again. ``excused`` are the seconds since it was heard in which this
-    process was paused and could hear nobody.
+    ``probed_at`` is the time of the first probe since the last heartbeat, ``next_probe_at``
+    when it may be probed again. ``excused`` is the number of seconds since the last heartbeat
+    in which this process was paused and could receive nothing.
     """
 
     heartbeat: Heartbeat
@@ -41,18 +41,18 @@
     excused: float = 0.0
 
     def silence(self, now: float) -> float:
-        """Return for how long it has not been heard while this process ran."""
+        """Return the seconds without a heartbeat while this process ran."""
         return now - self.heard_at - self.excused
 
     def excuse(self, seconds: float) -> None:
-        """Leave a pause of this process out of the silence, and of the wait for a probe."""
+        """Exclude a pause of this process from the silence and from the probe timeout."""
         self.excused += seconds
         if self.probed_at is not None:
             self.probed_at += seconds
 
     @property
     def suspected_at(self) -> float:
-        """Return when it is suspected if nothing is heard of it until then.
+        """Return when the member is suspected if no heartbeat arrives until then.
 
         >>> beat = Heartbeat("n", 1, "z", "10.0.0.1:1", 1, 0.25)
         >>> Member(beat, heard_at=5.0).suspected_at
@@ -60,34 +60,34 @@
         >>> Member(beat, heard_at=5.0, probed_at=4.8).suspected_at
         5.8
         """
-        silent = self.heard_at + self.excused + SUSPECT_HEARTBEATS * self.heartbeat.interval
+        silence_limit = self.heard_at + self.excused + SUSPECT_HEARTBEATS * self.heartbeat.interval
         if self.probed_at is None:
-            return silent
-        return min(silent, self.probed_at + PROBE_PATIENCE_SECONDS)
+            return silence_limit
+        return min(silence_limit, self.probed_at + PROBE_PATIENCE_SECONDS)
 
     def suspected(self, now: float) -> bool:
-        """Return whether it has been silent for too long, or has not answered probes."""
+        """Return whether the member was silent for too long, or has not answered probes."""
         return now > self.suspected_at
 
     def suspect(self) -> None:
-        """Suspect it at once, until its next heartbeat."""
+        """Suspect the member at once, until its next heartbeat."""
         self.heard_at -= SUSPECT_HEARTBEATS * self.heartbeat.interval
 
     def may_be_probed(self, now: float) -> bool:
-        """Return whether it has been silent for long enough, and not just probed."""
+        """Return whether the member was silent for long enough, and was not just probed."""
         return self.silence(now) > PROBED_AFTER_SECONDS and now >= self.next_probe_at
 
     def note_probe(self, now: float) -> None:
-        """Note that it is probed now."""
+        """Record that the member is probed at ``now``."""
         if self.probed_at is None:
             self.probed_at = now
         self.next_probe_at = now + PROBE_SECONDS
 
     def forgotten(self, now: float) -> bool:
-        """Return whether it has been silent for so long that it is told nothing more."""
+        """Return whether the member was silent for so long that heartbeats to it stop."""
         return self.silence(now) > FORGET_SECONDS
 
     def store_contact(self, table: StoreTable) -> ReportedStoreContact:
-        """Return the newest answer of the store about a table that the member knew of."""
+        """Return the newest answer of the store about a table that the member has reported."""
         beat = self.heartbeat
         return beat.workers_contact if table is StoreTable.WORKERS else beat.configuration_contact
--- a/src/corkcrank/machines/owner_use.py
+++ b/src/corkcrank/machines/owner_use.py
@@ -1,22 +1,22 @@
-"""Whether a member's queues or grants were used lately, so that others decide by them."""
+"""Tracks whether a member's queues or grants were used recently, so that others decide by them."""
 
 OWNER_SECONDS = 5.0
-"""Time after its last use for which a gateway counts as an owner of queues or engines: a few of
-an owner's heartbeats in a fleet of 195 (1.1 s each)."""
+"""Time after its last use for which a gateway counts as an owner of queues or engines. It spans a
+few of an owner's heartbeat intervals in a fleet of 195 (1.1 s each)."""
 
 
 class OwnerUse:
-    """When an owner was last asked for something; times are handed in."""
+    """Time of the last request to an owner; callers pass the time."""
 
     def __init__(self) -> None:
         self._used_at = float("-inf")
 
     def note(self, now: float) -> None:
-        """Note that it was asked."""
+        """Record a request to the owner."""
         self._used_at = now
 
     def lately(self, now: float) -> bool:
-        """Return whether it was asked within the last ``OWNER_SECONDS``.
+        """Return whether the owner had a request within the last ``OWNER_SECONDS``.
 
         >>> use = OwnerUse()
         >>> use.note(10.0)
--- a/src/corkcrank/machines/routing.py
+++ b/src/corkcrank/machines/routing.py
@@ -1,4 +1,4 @@
-"""Back-end choice: one policy a class, over a lagged load view and own calls in flight."""
+"""Routing policies that choose a back end from delayed loads and local calls in flight."""
 
 import random
 from collections.abc import Sequence
@@ -10,20 +10,20 @@
 from corkcrank.contracts.settings import Routing
 
 PREFIX_BYTES = 256
-"""Bytes of a prompt that decide its preferred engine."""
+"""Leading bytes of a prompt that determine its preferred engine."""
 
 FIRST_TURNS = 65_536
-"""Gateways begin their round robin at one of so many turns, apart from each other."""
+"""Range of the random first turn of a round robin, so that gateways start at different turns."""
 
 PREFIX_LOAD_BOUND = 1.25
-"""A preferred engine is skipped above this multiple of the mean load."""
+"""Multiple of the mean load above which a preferred engine is skipped."""
 
 
 @dataclass(slots=True)
 class Candidate:
     """A live back end as one gateway sees it.
 
-    ``load`` counts reported running and waiting calls plus own calls sent since.
+    ``load`` counts the reported running and waiting calls plus the local calls sent since.
     """
 
     worker: WorkerId
@@ -45,33 +45,33 @@
 
 
 class RoundRobin:
-    """Takes the candidates in turn, whatever their load."""
+    """Chooses the candidates in round-robin order, regardless of load."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._next = random_source.randrange(FIRST_TURNS)
 
     def choose(self, candidates: Sequence[Candidate], affinity: str) -> Candidate:
-        """Return the next candidate in turn."""
+        """Return the next candidate in round-robin order."""
         self._next += 1
         return candidates[self._next % len(candidates)]
 
 
 class LeastLoaded:
-    """Takes the lowest pressure in the view; herds when the view lags."""
+    """Chooses the lowest pressure in the view. Gateways herd on one back end when the view lags."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
 
     def choose(self, candidates: Sequence[Candidate], affinity: str) -> Candidate:
-        """Return the candidate of least pressure, ties broken at random."""
+        """Return the candidate with the lowest pressure; breaks ties at random."""
         return min(candidates, key=lambda candidate: (candidate.pressure, self._random.random()))
 
 
 class TwoChoices:
-    """Takes the better of two drawn at random, which spreads a lagged view's error.
+    """Chooses the better of two random candidates, which spreads the error of a delayed view.
 
-    The two are drawn independently and may be the same: among two back ends a pair of
-    different ones would always be both, and every gateway would choose the same.
+    The two are drawn independently and may be the same. With two back ends, a pair of
+    different ones would always be both, and every gateway would choose the same one.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -87,15 +87,15 @@
 class PrefixAffinity:
     """Prefers the engine that holds the prefix while its load stays near the mean.
 
-    The preferred engine is the highest rendezvous hash of prefix and worker, so every
-    gateway prefers the same one. Above the bound, the choice falls to two choices.
+    The preferred engine has the highest rendezvous hash of prefix and worker, so every
+    gateway prefers the same one. Above the bound, it falls back to two random choices.
     """
 
     def __init__(self, random_source: random.Random) -> None:
         self._fallback = TwoChoices(random_source)
 
     def choose(self, candidates: Sequence[Candidate], affinity: str) -> Candidate:
-        """Return the preferred candidate, or the better of two when it is loaded."""
+        """Return the preferred candidate, or the better of two if its load is above the bound."""
         if not affinity:
             return self._fallback.choose(candidates, affinity)
         preferred = max(candidates, key=lambda item: rendezvous_weight(affinity, item.worker))
--- a/src/corkcrank/machines/warming_workers.py
+++ b/src/corkcrank/machines/warming_workers.py
@@ -1,32 +1,31 @@
-"""Workers that are warming up, and until when, on the own clock.
+"""Tracks which workers are warming up, and until when, on the local clock.
 
-A worker's entry tells for how long it is still to warm up. How old that news is by the time
-it comes here is not known, so a worker counts as warming for a little too long and never for
-too short a time. Workers of a zone that is taken back may have turned cold just before, which
-their entries tell a heartbeat later: they all count as warming for the time of a start.
-Pure: the time is handed in.
+A worker's entry gives its remaining warm-up time. The age of that value on arrival is unknown,
+so a worker counts as warming for a little too long and never for too short a time. Workers of
+a restored zone may have become cold just before, which their entries report a heartbeat later:
+they all count as warming for the time of a start. Does no I/O: callers pass the time.
 """
 
 from collections.abc import Collection
 
 from corkcrank.contracts.worker_records import WorkerRecord
 
-LONGEST_START_SECONDS = 60.0
-"""Time after which no worker of a zone that was taken back counts as warming for that alone."""
+MAX_START_SECONDS = 60.0
+"""Time after which no worker counts as warming only because its zone was restored."""
 
 _NEVER = float("-inf")
 
 
 class WarmingWorkers:
-    """When each worker is warm that told of a warm-up, and when zones were taken back."""
+    """End of each worker's reported warm-up, and the times at which zones were restored."""
 
     def __init__(self) -> None:
         self._warm_at: dict[str, float] = {}
-        self._taken_back_at: dict[str, float] = {}
+        self._restored_at: dict[str, float] = {}
         self._until = _NEVER
 
     def note(self, record: WorkerRecord, now: float) -> None:
-        """Take a new or changed entry."""
+        """Apply a new or changed entry of a worker."""
         if record.warmup > 0:
             self._warm_at[record.worker_id] = now + record.warmup
             self._until = max(self._until, now + record.warmup)
@@ -34,16 +33,16 @@
             self._warm_at.pop(record.worker_id, None)
 
     def note_taken_back(self, zone: str, now: float) -> None:
-        """Take that a zone's workers may be given work again."""
-        self._taken_back_at[zone] = now
-        self._until = max(self._until, now + LONGEST_START_SECONDS)
+        """Record that a zone's workers may get work again after an evacuation."""
+        self._restored_at[zone] = now
+        self._until = max(self._until, now + MAX_START_SECONDS)
 
     def any(self, now: float) -> bool:
-        """Return whether a worker may be warming up: in most of a day none is."""
+        """Return whether any worker may be warming up; during most of a day none is."""
         return now < self._until
 
     def is_warming(self, record: WorkerRecord, start_seconds: float, now: float) -> bool:
-        """Return whether a worker is warming up; ``start_seconds`` is what a start takes.
+        """Return whether a worker is warming up; ``start_seconds`` is the time that a start takes.
 
         >>> warming = WarmingWorkers()
         >>> worker = WorkerRecord("w", "s", "", "a", warmup=2.0)
@@ -56,9 +55,9 @@
         """
         if now < self._warm_at.get(record.worker_id, _NEVER):
             return True
-        return now < self._taken_back_at.get(record.zone, _NEVER) + start_seconds
+        return now < self._restored_at.get(record.zone, _NEVER) + start_seconds
 
     def forget_all_but(self, worker_ids: Collection[str]) -> None:
-        """Drop workers that are no longer listed."""
+        """Remove workers that are no longer listed."""
         for worker_id in self._warm_at.keys() - set(worker_ids):
             del self._warm_at[worker_id]
--- a/src/corkcrank/machines/worker_pools.py
+++ b/src/corkcrank/machines/worker_pools.py
@@ -1,8 +1,8 @@
-"""Stage workers whose queues one gateway keeps together.
+"""Groups stage workers into pools whose queues one gateway manages together.
 
-A piece that is bound to a worker when it is placed waits for that worker, also while another
-one of the service is idle. The owner of a pool gives waiting pieces to whichever of its
-workers is free first. A pool is as large as one gateway can see to.
+A piece that is bound to one worker when it is placed waits for that worker even while another
+worker of the service is idle. The owner of a pool gives waiting pieces to its first worker that
+is free. The size of a pool is bounded by what one gateway can manage.
 """
 
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from corkcrank.contracts.worker_records import WorkerList, WorkerRecord
 
 MOST_POOL_WORKERS = 6
-"""Workers of one pool: about 15 batches and 200 pieces a second, a tenth of a core."""
+"""Largest pool: about 15 batches and 200 pieces per second take a tenth of a core of its owner."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerPool:
-    """Workers of one service in one zone with one owner, which is chosen by ``key``."""
+    """Workers of one service in one zone with one owner, which ``key`` determines."""
 
     zone: str
     key: str
@@ -23,12 +23,12 @@
 
 
 def pool_of(table: WorkerList, worker: WorkerRecord) -> WorkerPool:
-    """Return the pool of a worker: its service's in its zone, or itself where they are many.
+    """Return the pool of a worker: all workers of its service and zone, or it alone if too many.
 
-    Pools do not span zones. That would serve some more calls, and three to six times the bytes
+    Pools do not span zones. That would serve a few more calls, but three to six times the bytes
     of results would cross zones.
     """
-    nearby = table.usable_in(worker.service, worker.zone)
-    if len(nearby) <= MOST_POOL_WORKERS and worker in nearby:
-        return WorkerPool(worker.zone, worker.service, nearby)
+    same_zone = table.usable_in(worker.service, worker.zone)
+    if len(same_zone) <= MOST_POOL_WORKERS and worker in same_zone:
+        return WorkerPool(worker.zone, worker.service, same_zone)
     return WorkerPool(worker.zone, worker.worker_id, (worker,))
--- a/tests/core/test_caller_lost_in_stream.py
+++ b/tests/core/test_caller_lost_in_stream.py
@@ -1,9 +1,9 @@
-"""A caller that is lost while a token is written to it frees the engine at once.
+"""A caller that disconnects while a token is written to it frees the engine at once.
 
-The close of a caller's connection shows as a cancellation of its request, or, where a token
-is written in the same moment, as an error of that write. On the second way the engine was not
-told and its connection stayed open, so it generated all 1,000 tokens for nobody: 8 of 40
-plays of ``test_engine_work_ends_when_the_caller_leaves`` beside a load of 30.
+The close of a caller's connection cancels its request, or, if a token is being written then,
+makes that write fail. In the second case the engine was not cancelled and its connection stayed
+open, so it generated all 1,000 tokens after the caller had left. It happened in 8 of 40 runs of
+``test_engine_work_ends_when_the_caller_leaves`` beside a load of 30.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class Engine:
-    """Generates tokens for ever, and notes whether it was told to stop."""
+    """Generates 1,000 tokens and records cancellations and whether its stream was closed."""
 
     def __init__(self) -> None:
         self.cancelled: list[str] = []
@@ -75,14 +75,14 @@
     )
 
 
-async def test_an_error_of_a_write_to_the_caller_stops_the_engine() -> None:
+async def test_a_failed_write_to_the_caller_stops_the_engine() -> None:
     engine = Engine()
 
-    async def lost(index: int, token: str) -> None:
-        raise ConnectionResetError("the caller has gone")
+    async def failing_write(index: int, token: str) -> None:
+        raise ConnectionResetError("the caller has disconnected")
 
     with pytest.raises(ConnectionResetError):
-        await engine_run(engine, lost).run()
+        await engine_run(engine, failing_write).run()
     assert len(engine.cancelled) == 1
     assert engine.closed
 
@@ -91,11 +91,11 @@
     engine = Engine()
     written = asyncio.Event()
 
-    async def slow(index: int, token: str) -> None:
+    async def blocked_write(index: int, token: str) -> None:
         written.set()
         await asyncio.Event().wait()
 
-    request = asyncio.create_task(engine_run(engine, slow).run())
+    request = asyncio.create_task(engine_run(engine, blocked_write).run())
     await written.wait()
     request.cancel()
     with pytest.raises(asyncio.CancelledError):
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -1,4 +1,4 @@
-"""Heartbeats always fit a datagram, and nothing else is taken for one."""
+"""Heartbeats always fit a datagram, and no other datagram decodes as one."""
 
 import zlib
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def identity(number: int) -> str:
-    """Return an id that does not compress, of the length that ids have."""
+    """Return an incompressible id of the usual length."""
     return f"i-{number * 0x9E3779B97F4A7C15 % (1 << 64):016x}"
 
 
@@ -55,55 +55,55 @@
     prefixes=st.integers(0, 60),
     changes=st.integers(0, MOST_TOLD),
 )
-def test_a_heartbeat_fits_whatever_it_has_to_tell(
+def test_a_heartbeat_fits_a_datagram_at_any_load(
     queues: int, calls: int, prefixes: int, changes: int
 ) -> None:
     beat = heartbeat(queues, calls, prefixes, changes)
     data = encode_heartbeat(beat)
     assert len(data) <= MAXIMUM_DATAGRAM_BYTES
-    told = decode_heartbeat(data)
-    assert told is not None
-    assert (told.name, told.phase, told.interval) == (beat.name, beat.phase, beat.interval)
+    decoded = decode_heartbeat(data)
+    assert decoded is not None
+    assert (decoded.name, decoded.phase, decoded.interval) == (beat.name, beat.phase, beat.interval)
 
 
-def test_calls_are_left_out_before_what_owners_tell() -> None:
-    told = decode_heartbeat(encode_heartbeat(heartbeat(20, 900, 24, MOST_TOLD)))
-    assert told is not None
-    assert len(told.stage_loads) == 20
-    assert told.worker_changes is not None
-    assert len(told.worker_changes.changes) == MOST_TOLD
-    assert 0 < len(told.call_loads) < 900
-    assert min(load.in_flight for load in told.call_loads) > 1
+def test_calls_are_left_out_before_the_loads_that_owners_report() -> None:
+    decoded = decode_heartbeat(encode_heartbeat(heartbeat(20, 900, 24, MOST_TOLD)))
+    assert decoded is not None
+    assert len(decoded.stage_loads) == 20
+    assert decoded.worker_changes is not None
+    assert len(decoded.worker_changes.changes) == MOST_TOLD
+    assert 0 < len(decoded.call_loads) < 900
+    assert min(load.in_flight for load in decoded.call_loads) > 1
 
 
 @given(st.binary(max_size=300))
-def test_anything_else_is_no_heartbeat(data: bytes) -> None:
+def test_other_data_does_not_decode(data: bytes) -> None:
     assert decode_heartbeat(data) is None
     assert decode_heartbeat(zlib.compress(data)) is None
 
 
-def test_a_datagram_that_unpacks_to_much_is_no_heartbeat() -> None:
+def test_a_datagram_that_decompresses_to_too_much_does_not_decode() -> None:
     padded = msgspec.msgpack.encode(heartbeat(0, 0, 0, 0)) + bytes(50 * MAXIMUM_HEARTBEAT_BYTES)
     assert decode_heartbeat(zlib.compress(padded)) is None
 
 
-def test_limits_of_workers_are_told_also_where_nothing_else_that_is_rare_is() -> None:
-    """Fields that tell nothing are left out from the end; what stands behind them is kept."""
+def test_limits_are_sent_if_the_other_rare_fields_are_empty() -> None:
+    """Empty fields are left out only at the end; fields before a set field are kept."""
     limits = tuple(ReportedLimit(identity(n), 1.5, 0.25) for n in range(MAX_REPORTED_LIMITS))
     beat = msgspec.structs.replace(heartbeat(2, 2, 2, 0), limits=limits)
-    told = decode_heartbeat(encode_heartbeat(beat))
-    assert told is not None
-    assert told.limits == limits
+    decoded = decode_heartbeat(encode_heartbeat(beat))
+    assert decoded is not None
+    assert decoded.limits == limits
 
 
-def test_a_heartbeat_without_limits_has_no_byte_for_them() -> None:
+def test_a_heartbeat_without_limits_takes_no_bytes_for_them() -> None:
     beat = heartbeat(2, 2, 2, 0)
     fields = msgspec.msgpack.decode(zlib.decompress(encode_heartbeat(beat)))
     assert len(fields) == Heartbeat.__struct_fields__.index("trials")
 
 
 class OlderReport(msgspec.Struct, frozen=True, array_like=True):
-    """What an older build tells of a request: its ends stand in the place that is reserved now."""
+    """Report of an older build on a request: its ``ends`` are in the field that is reserved now."""
 
     request: str
     ends: tuple[tuple[str, float, bool, bool], ...] = ()
@@ -121,8 +121,8 @@
 )
 
 
-def test_builds_that_tell_ends_by_request_and_by_worker_hear_each_other() -> None:
-    """A member whose heartbeats cannot be read is taken for dead in a rolling restart."""
+def test_builds_that_report_crashes_by_request_and_by_worker_read_each_other() -> None:
+    """A member whose heartbeats cannot be read would be suspected in a rolling restart."""
     ends = (("w 1", 0.5, False, True),)
     older = [
         (OlderReport("c" * 16, ends, (2, 0.25)),) if name == "trials" else value
@@ -132,12 +132,12 @@
             strict=False,
         )
     ]
-    heard = decode_heartbeat(zlib.compress(msgspec.msgpack.encode(older)))
-    assert heard is not None
-    assert heard.trials[0].trial == Trial(2, 0.25)
+    decoded = decode_heartbeat(zlib.compress(msgspec.msgpack.encode(older)))
+    assert decoded is not None
+    assert decoded.trials[0].trial == Trial(2, 0.25)
     report = CrashReport.from_requests("w 1", 0.5, [RequestAtCrash("c" * 16)], incomplete=False)
     trial = TrialReport("c" * 16, trial=Trial(2, 0.25))
-    told = msgspec.structs.replace(heartbeat(2, 2, 2, 0), trials=(trial,), crashes=(report,))
-    data = zlib.decompress(encode_heartbeat(told))
+    sent = msgspec.structs.replace(heartbeat(2, 2, 2, 0), trials=(trial,), crashes=(report,))
+    data = zlib.decompress(encode_heartbeat(sent))
     read = msgspec.msgpack.decode(data, type=OlderHeartbeat)
     assert read.trials == (OlderReport("c" * 16, (), (2, 0.25)),)
--- a/tests/core/test_load_view.py
+++ b/tests/core/test_load_view.py
@@ -1,4 +1,4 @@
-"""A gateway's view of back ends: leaving is final, drains hold, the nearest come first."""
+"""A gateway's view of back ends: leaving is final, and same-zone back ends are preferred."""
 
 import random
 
@@ -23,13 +23,13 @@
 
 @settings(max_examples=300)
 @given(seed=st.integers(0, 1 << 32))
-def test_leaving_never_turns_back_to_live_by_older_news(seed: int) -> None:
+def test_an_older_directory_or_report_never_makes_a_leaving_worker_live(seed: int) -> None:
     source = random.Random(seed)
     view = LoadView("a")
     truth: set[str] = set()
     boots = dict.fromkeys(WORKERS, 0)
     history = [directory(1, truth, boots)]
-    told: set[tuple[str, int]] = set()
+    seen_leaving: set[tuple[str, int]] = set()
     for _ in range(60):
         worker = source.choice(WORKERS)
         action = source.randrange(5)
@@ -48,22 +48,22 @@
         for entry in view.workers():
             key = (entry.entry.worker, int(entry.entry.boot))
             if entry.leaving:
-                told.add(key)
-            if key in told:
+                seen_leaving.add(key)
+            if key in seen_leaving:
                 assert entry.entry.worker not in chosen
 
 
-def test_near_back_ends_come_first_until_they_are_full() -> None:
+def test_same_zone_back_ends_are_preferred_until_they_are_full() -> None:
     view = LoadView("a")
-    near = WorkerEntry(WorkerId("near"), "llm", "a", "1.1.1.1:1")
-    far = WorkerEntry(WorkerId("far"), "llm", "b", "1.1.1.1:2")
-    view.apply_directory(Directory(workers=(near, far), list_version=1))
+    same_zone = WorkerEntry(WorkerId("near"), "llm", "a", "1.1.1.1:1")
+    other_zone = WorkerEntry(WorkerId("far"), "llm", "b", "1.1.1.1:2")
+    view.apply_directory(Directory(workers=(same_zone, other_zone), list_version=1))
     assert [item.worker for item in view.candidates("llm", 0.0)] == ["near"]
     view.apply_loads([WorkerLoad(WorkerId("near"), 8, 2, 8)], 0.0)
     assert {item.worker for item in view.candidates("llm", 0.0)} == {"near", "far"}
 
 
-def test_own_calls_since_the_report_count() -> None:
+def test_local_calls_since_the_report_count() -> None:
     view = LoadView("a")
     entry = WorkerEntry(WorkerId("w"), "llm", "a", "1.1.1.1:1")
     view.apply_directory(Directory(workers=(entry,), list_version=1))
--- a/tests/platform/test_warming_workers.py
+++ b/tests/platform/test_warming_workers.py
@@ -1,4 +1,4 @@
-"""Workers that start cold, or turn cold, get what they bear while they warm up."""
+"""Workers that start or become cold get calls within their warm-up rate until they are warm."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 def limited(rate: float = RATE, seconds: float = 1.0) -> dict[str, Any]:
-    """Return a configuration whose services' workers bear little while they warm up."""
+    """Return a configuration whose services limit workers to ``rate`` while they warm up."""
     document = configuration(1, ROUTES)
     for service in document["services"]:
         service.update({"warmup_s": seconds, "warmup_per_s": rate})
@@ -32,14 +32,14 @@
     return response.status
 
 
-async def turn_cold(running: World, worker: StandinWorker, service: str, left_ms: float) -> None:
+async def make_cold(running: World, worker: StandinWorker, service: str, left_ms: float) -> None:
     worker.told["warmup_left_ms"] = left_ms
     running.store.put("servers", worker.worker_id, worker.entry(service))
     revision = running.store.revision
     await until(lambda: all(node.mirror.workers.revision >= revision for node in running.nodes))
 
 
-async def test_a_cold_engine_gets_what_it_bears_and_warm_ones_the_rest() -> None:
+async def test_a_cold_engine_gets_its_warmup_rate_and_warm_ones_the_rest() -> None:
     cold = StandinWorker(events=2, told={"warmup_left_ms": LONG_MS})
     warm = StandinWorker(events=2)
     async with world(limited(), {"cold": (cold, "model"), "warm": (warm, "model")}) as running:
@@ -48,7 +48,7 @@
         assert len(cold.seen) <= RATE
 
 
-async def test_when_every_engine_has_what_it_bears_the_rest_is_refused_at_once() -> None:
+async def test_calls_above_the_warmup_rate_of_every_engine_are_refused_at_once() -> None:
     cold = StandinWorker(events=2, told={"warmup_left_ms": LONG_MS})
     async with world(limited(), {"cold": (cold, "model")}) as running:
         started = clock.now()
@@ -58,7 +58,7 @@
         assert len(cold.seen) == statuses.count(200) <= RATE
 
 
-async def test_two_gateways_together_send_no_more_than_one_would() -> None:
+async def test_two_gateways_together_stay_within_the_warmup_rate() -> None:
     cold = StandinWorker(events=2, told={"warmup_left_ms": LONG_MS})
     async with (
         world(limited(), {"cold": (cold, "model")}) as running,
@@ -70,20 +70,20 @@
         assert 0 < len(cold.seen) <= RATE
 
 
-async def test_an_engine_that_turns_cold_in_the_middle_is_held_back_until_it_is_warm() -> None:
+async def test_an_engine_that_becomes_cold_is_limited_until_it_is_warm() -> None:
     engine = StandinWorker(events=2)
     async with world(limited(), {"one": (engine, "model")}) as running:
         assert set(await asyncio.gather(*(talk(running) for _ in range(12)))) == {200}
-        await turn_cold(running, engine, "model", LONG_MS)
+        await make_cold(running, engine, "model", LONG_MS)
         seen = len(engine.seen)
         await asyncio.gather(*(talk(running) for _ in range(12)))
         assert len(engine.seen) - seen <= RATE
-        await turn_cold(running, engine, "model", 0)
+        await make_cold(running, engine, "model", 0)
         assert set(await asyncio.gather(*(talk(running) for _ in range(12)))) == {200}
 
 
-async def test_workers_of_a_zone_that_is_taken_back_count_as_cold_until_they_tell() -> None:
-    """They may have turned cold just before, which their entries tell a heartbeat later."""
+async def test_workers_of_a_restored_zone_count_as_cold_until_they_report() -> None:
+    """They may have become cold just before, which their entries report a heartbeat later."""
     engine = StandinWorker(events=2)
     async with world(limited(), {"one": (engine, "model")}) as running:
         mirror = running.nodes[0].mirror
@@ -116,7 +116,7 @@
         assert line in metrics
 
 
-async def test_a_plain_worker_that_warms_up_is_passed_over_for_a_warm_one() -> None:
+async def test_a_warm_plain_worker_is_preferred_to_one_that_warms_up() -> None:
     cold = StandinWorker(told={"warmup_left_ms": LONG_MS})
     warm = StandinWorker()
     async with world(limited(0.01), {"cold": (cold, "plain"), "warm": (warm, "plain")}) as running:
@@ -125,13 +125,13 @@
         assert len(cold.seen) <= 1
 
 
-async def test_a_warmup_without_a_stated_rate_limits_nothing() -> None:
+async def test_a_warmup_without_a_stated_rate_sets_no_limit() -> None:
     engine = StandinWorker(events=2, told={"warmup_left_ms": LONG_MS})
     async with world(configuration(1, ROUTES), {"one": (engine, "model")}) as running:
         assert set(await asyncio.gather(*(talk(running) for _ in range(12)))) == {200}
 
 
-async def test_a_negative_or_endless_warmup_is_taken_for_none_or_the_longest() -> None:
+async def test_a_negative_warmup_counts_as_none_and_a_huge_one_as_the_maximum() -> None:
     negative = StandinWorker(told={"warmup_left_ms": -5_000})
     endless = StandinWorker(told={"warmup_left_ms": 1e300})
     served = {"negative": (negative, "plain"), "endless": (endless, "plain")}
--- a/tests/platform/test_worker_pool.py
+++ b/tests/platform/test_worker_pool.py
@@ -1,4 +1,4 @@
-"""Workers of one pool: a piece that waits for a busy one is made by the first that is free."""
+"""Workers of one pool: a piece that waits for a busy worker is run by the first free one."""
 
 import asyncio
 
@@ -17,11 +17,12 @@
 CALLS = 6
 
 
-async def test_pieces_of_a_worker_that_stands_still_are_made_by_its_sibling() -> None:
-    """Pieces waited although two calls had ended: they had come while the sibling was at work.
+async def test_pieces_of_a_stuck_worker_are_run_by_its_sibling() -> None:
+    """Only the batch that a stuck worker has already started may remain with it.
 
-    Nothing may be left with the worker that stands still but the batch it has. Calls that came 5 ms
-    apart waited for the sibling's next batch when two had ended (one play of three).
+    Guards against pieces that arrive while the sibling is busy and then wait although two calls
+    have ended. Calls that arrived 5 ms apart waited for the sibling's next batch after two had
+    ended (one run of three).
     """
     stuck, sound = StandinStageWorker(gate=asyncio.Event()), StandinStageWorker()
     served = {
@@ -35,13 +36,13 @@
         ]
         queues = running.nodes[0].stage_owner.queues
 
-        def others_made() -> bool:
-            at_stuck = sum(len(items) for items in stuck.calls)
+        def all_other_pieces_done() -> bool:
+            pieces_at_stuck = sum(len(items) for items in stuck.calls)
             done = sum(call.done() for call in calls)
             waiting = sum(queue.waiting for _, queue in queues())
-            return waiting == 0 and done == CALLS - at_stuck
+            return waiting == 0 and done == CALLS - pieces_at_stuck
 
-        await until(others_made)
+        await until(all_other_pieces_done)
         assert stuck.calls
         assert stuck.gate is not None
         stuck.gate.set()
@@ -51,7 +52,7 @@
         await until(lambda: not stuck.held and not sound.held)
 
 
-async def test_a_withdrawn_piece_that_was_taken_over_frees_its_result() -> None:
+async def test_a_withdrawn_piece_that_another_worker_took_frees_its_result() -> None:
     gate = asyncio.Event()
     one, two = StandinStageWorker(gate=gate), StandinStageWorker(gate=gate)
     served = {
--- a/tests/scheduling/test_fleet.py
+++ b/tests/scheduling/test_fleet.py
@@ -1,4 +1,4 @@
-"""Membership, ownership and the fleet's retry budget."""
+"""Membership and ownership in a fleet, suspicion after pauses, and the fleet's retry budget."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
     return Heartbeat(name, incarnation, zone, f"10.0.0.{name}:1", phase, 0.25)
 
 
-def views(zones: list[str]) -> list[Fleet]:
+def fleets_with_the_same_members(zones: list[str]) -> list[Fleet]:
     fleets = []
     for number, zone in enumerate(zones):
         fleet = Fleet(str(number), zone, f"10.0.0.{number}:1")
@@ -32,11 +32,14 @@
     worker=st.text("abcdef0123456789", min_size=1, max_size=8),
     zone=st.sampled_from(ZONES),
 )
-def test_members_with_the_same_view_name_the_same_owner(
+def test_members_with_the_same_view_choose_the_same_owner(
     zones: list[str], worker: str, zone: str
 ) -> None:
     record = WorkerRecord(worker, "s", "10.0.0.1:1", zone)
-    owners = {fleet.zone_owner(record.zone, record.worker_id, 0.1) for fleet in views(zones)}
+    owners = {
+        fleet.zone_owner(record.zone, record.worker_id, 0.1)
+        for fleet in fleets_with_the_same_members(zones)
+    }
     assert len(owners) == 1
     if zone in zones:
         assert zones[int(owners.pop())] == zone
@@ -53,7 +56,7 @@
     assert fleet.zone_owner(worker.zone, worker.worker_id, 1.6) == "0"
 
 
-def test_doubted_member_is_suspected_until_its_next_heartbeat() -> None:
+def test_member_with_a_failed_connection_is_suspected_until_its_next_heartbeat() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.hear(beat("1", "a"), 5.0)
     fleet.suspect("1")
@@ -62,8 +65,8 @@
     assert len(fleet.live(5.3)) == 1
 
 
-def heard_until(now: float) -> Fleet:
-    """Return a fleet whose process has run, and heard one member, until a time."""
+def fleet_that_ran_until(now: float) -> Fleet:
+    """Return a fleet whose process ran and received heartbeats of one member until ``now``."""
     fleet = Fleet("0", "a", "10.0.0.0:1")
     for step in range(round(now / 0.1) + 1):
         fleet.note_running(step * 0.1)
@@ -71,16 +74,16 @@
     return fleet
 
 
-def test_nobody_is_suspected_for_a_pause_of_this_process() -> None:
-    fleet = heard_until(2.0)
+def test_a_pause_of_this_process_makes_no_member_suspected() -> None:
+    fleet = fleet_that_ran_until(2.0)
     assert not fleet.suspected("1", 7.0)
     assert len(fleet.live(7.0)) == 1
     assert fleet.note_running(7.0) == 5.0
     assert fleet.note_running(7.1) == 0.0
 
 
-def test_a_wait_for_a_probe_does_not_run_out_in_a_pause_of_this_process() -> None:
-    fleet = heard_until(2.0)
+def test_a_probe_does_not_time_out_during_a_pause_of_this_process() -> None:
+    fleet = fleet_that_ran_until(2.0)
     fleet.note_running(2.2)
     fleet.note_running(2.4)
     fleet.note_running(2.6)
@@ -90,7 +93,7 @@
 
 
 def test_a_member_that_died_in_a_pause_of_this_process_is_suspected_soon_after() -> None:
-    fleet = heard_until(2.0)
+    fleet = fleet_that_ran_until(2.0)
     now = 7.0
     while not fleet.suspected("1", now):
         now += 0.1
@@ -98,8 +101,8 @@
     assert now < 8.0
 
 
-def test_a_process_that_pauses_again_and_again_suspects_a_dead_member() -> None:
-    fleet = heard_until(2.0)
+def test_a_process_that_pauses_repeatedly_suspects_a_dead_member() -> None:
+    fleet = fleet_that_ran_until(2.0)
     now, pauses = 2.0, 0
     while not fleet.suspected("1", now):
         now += 0.8
@@ -108,14 +111,14 @@
     assert pauses == SUSPECT_HEARTBEATS + 1
 
 
-def test_a_member_that_was_suspected_before_a_pause_stays_so() -> None:
-    fleet = heard_until(2.0)
+def test_a_member_suspected_before_a_pause_stays_suspected() -> None:
+    fleet = fleet_that_ran_until(2.0)
     fleet.suspect("1")
     assert fleet.suspected("1", 7.0)
     assert fleet.suspected("2", 7.0)
 
 
-def test_silent_member_is_still_told_heartbeats_until_forgotten() -> None:
+def test_heartbeats_go_to_a_silent_member_until_it_is_removed() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.hear(beat("1", "a"), 0.0)
     assert fleet.audience(30.0) == ["10.0.0.1:1"]
@@ -131,10 +134,10 @@
 
 def test_backlog_of_silent_members_is_not_counted() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    told = Heartbeat(
+    reported = Heartbeat(
         "1", 1, "a", "x", Phase.SERVING, 0.25, backlogs=(ServiceBacklog("s", (0, 1), 5),)
     )
-    fleet.hear(told, 0.0)
+    fleet.hear(reported, 0.0)
     assert fleet.reported_backlog("s", (0, 1), 0.1) == 5
     assert fleet.reported_backlog("s", (0, 0), 0.1) == 0
     assert fleet.reported_backlog("s", (0, 1), 2.0) == 0
@@ -143,7 +146,7 @@
 @given(
     events=st.lists(st.tuples(st.integers(0, 5), st.booleans(), st.floats(0.0, 0.5)), max_size=200)
 )
-def test_fleet_stays_within_its_budget_in_every_window(
+def test_the_fleet_stays_within_its_retry_budget_in_every_window(
     events: list[tuple[int, bool, float]],
 ) -> None:
     members, ratio, allowance, window = 6, 0.2, 30.0, 10.0
--- a/tests/scheduling/test_fleet_at_size.py
+++ b/tests/scheduling/test_fleet_at_size.py
@@ -1,4 +1,4 @@
-"""What holds of the members' news at any size: bytes, times to suspicion, ages."""
+"""Bounds on heartbeats at any fleet size: bytes sent, times to suspicion, age of reports."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
 )
 from corkcrank.machines.store_contact import ReportedStoreContact, StoreContact, newest_contact
 
-LOOK_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 TABLE = StoreTable.CONFIGURATION
 
 
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("members", [2, 8, 74, 350, 1000])
 @pytest.mark.parametrize("length", [150, 300, 2_000])
-def test_heartbeats_stay_within_their_bound_of_bytes(members: int, length: int) -> None:
+def test_heartbeats_stay_within_the_bytes_per_second_bound(members: int, length: int) -> None:
     fleet = fleet_of(members, length)
     interval = fleet.interval()
     sent = (members - 1) * length / interval
@@ -42,24 +42,24 @@
     assert sent <= HEARTBEAT_BYTES_A_SECOND * 1.01
 
 
-def test_a_small_fleet_hears_each_other_often() -> None:
+def test_members_of_a_small_fleet_send_heartbeats_often() -> None:
     assert fleet_of(8, 300).interval() == HEARTBEAT_SECONDS
 
 
 @pytest.mark.parametrize("interval", [0.25, 2.0, 8.0])
-def test_a_dead_member_that_is_waited_for_is_suspected_soon_at_any_size(interval: float) -> None:
+def test_a_probed_dead_member_is_suspected_soon_at_any_heartbeat_interval(interval: float) -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.hear(Heartbeat("1", 1, "a", "10.0.0.1:1", Phase.SERVING, interval), 0.0)
     now, probes = 0.0, 0
     while fleet.live(now):
         probes += fleet.probe("1", now) is not None
-        now += LOOK_SECONDS
-    longest = PROBED_AFTER_SECONDS + PROBE_PATIENCE_SECONDS + 2 * LOOK_SECONDS
+        now += CHECK_INTERVAL_SECONDS
+    longest = PROBED_AFTER_SECONDS + PROBE_PATIENCE_SECONDS + 2 * CHECK_INTERVAL_SECONDS
     assert now <= longest
     assert probes <= PROBE_PATIENCE_SECONDS / PROBE_SECONDS + 1
 
 
-def test_a_member_that_answers_probes_stays() -> None:
+def test_a_member_that_answers_probes_stays_live() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     slow = Heartbeat("1", 1, "a", "10.0.0.1:1", Phase.SERVING, 8.0)
     fleet.hear(slow, 0.0)
@@ -68,12 +68,12 @@
         if fleet.probe("1", now) is not None:
             probes += 1
             fleet.hear(slow, now + 0.01)
-        now += LOOK_SECONDS
+        now += CHECK_INTERVAL_SECONDS
         assert fleet.live(now)
     assert probes <= 30.0 / PROBED_AFTER_SECONDS
 
 
-def test_nobody_is_probed_who_was_just_heard_or_is_unknown() -> None:
+def test_members_just_heard_from_or_unknown_are_not_probed() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.hear(beat("1", "a"), 1.0)
     assert fleet.probe("1", 1.1) is None
@@ -87,7 +87,7 @@
         max_size=120,
     )
 )
-def test_an_old_word_of_the_store_ages_however_often_it_is_passed_on(
+def test_an_old_store_answer_ages_regardless_of_how_often_it_is_relayed(
     hops: list[tuple[int, int, float]],
 ) -> None:
     fleets = [Fleet(str(number), "a", f"10.0.0.{number}:1") for number in range(6)]
@@ -97,25 +97,27 @@
         contact = newest_contact(
             own.get(sender, StoreContact()), fleets[sender].store_contact(TABLE)
         )
-        told = contact.reported(now)
+        reported = contact.reported(now)
         now += delay
         longest = max(longest, delay)
         fleets[receiver].hear(
-            Heartbeat(f"m{sender}", 1, "a", "x", Phase.SERVING, 0.25, configuration_contact=told),
+            Heartbeat(
+                f"m{sender}", 1, "a", "x", Phase.SERVING, 0.25, configuration_contact=reported
+            ),
             now,
         )
-    # Each member takes a word once, so its way is no longer than the fleet.
+    # Each member applies an answer only once, so it passes at most as many hops as members.
     assert all(fleet.confirmed_at(TABLE) <= longest * len(fleets) for fleet in fleets)
 
 
-def test_any_member_tells_the_newest_word() -> None:
+def test_the_newest_store_answer_of_any_member_counts() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    for name, told in (
+    for name, reported in (
         ("1", ReportedStoreContact(9.0, 0.5)),
         ("2", ReportedStoreContact(8.0, 0.1)),
     ):
         fleet.hear(
-            Heartbeat(name, 1, "a", "x", Phase.SERVING, 0.25, configuration_contact=told), 20.0
+            Heartbeat(name, 1, "a", "x", Phase.SERVING, 0.25, configuration_contact=reported), 20.0
         )
     assert fleet.confirmed_at(TABLE) == 19.5
     assert fleet.confirmed_at(StoreTable.WORKERS) == float("-inf")
--- a/tests/scheduling/test_fleet_view.py
+++ b/tests/scheduling/test_fleet_view.py
@@ -1,7 +1,8 @@
-"""The view of the members that is kept equals one that is worked out anew at each moment.
+"""The incrementally updated view of the members equals one that is rebuilt at each step.
 
-It used to be worked out anew every 50 ms, and the search for newer lists went over all
-members five times a second: 7 ms of every second of a core in a fleet of 195.
+Guards against two costs that grew with the fleet: the view was rebuilt every 50 ms, and the
+search for newer lists went over all members five times a second. Together they took 7 ms of
+every second of a core in a fleet of 195.
 """
 
 import time
@@ -55,7 +56,7 @@
 )
 
 
-def apply(fleet: Fleet, kind: str, value: object, now: float) -> None:
+def apply_event(fleet: Fleet, kind: str, value: object, now: float) -> None:
     if isinstance(value, Heartbeat):
         fleet.hear(value, now)
     elif isinstance(value, Phase):
@@ -71,14 +72,14 @@
 
 
 @given(events=events)
-def test_the_view_kept_is_the_one_of_this_moment(
+def test_the_updated_view_equals_a_rebuilt_one(
     events: list[tuple[float, tuple[str, object]]],
 ) -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     now = 0.0
     for pause, (kind, value) in events:
         now += pause
-        apply(fleet, kind, value, now)
+        apply_event(fleet, kind, value, now)
         live = [fleet.member(name) for name in NAMES if not fleet.suspected(name, now)]
         beats = [member.heartbeat for member in live if member is not None]
         assert {member.heartbeat.name for member in fleet.live(now)} == {
@@ -114,8 +115,8 @@
     return fleet
 
 
-def seconds(work: Callable[[], object], times: int = 300) -> float:
-    """Return the least time of five rounds."""
+def shortest_seconds(work: Callable[[], object], times: int = 300) -> float:
+    """Return the shortest time of five rounds."""
     rounds = []
     for _ in range(5):
         began = time.perf_counter()
@@ -125,10 +126,10 @@
     return min(rounds)
 
 
-def test_what_nodes_ask_again_and_again_costs_the_same_in_a_large_fleet() -> None:
-    """Ratio of 400 members to 8: 35 (731 us to 33) with views worked out anew, 1.0 now (2.3 us)."""
+def test_frequent_queries_cost_the_same_in_a_large_fleet() -> None:
+    """Ratio of 400 members to 8: 35 (731 us to 33) if views are rebuilt, 1.0 now (2.3 us)."""
 
-    def ask(members: int) -> float:
+    def query_seconds(members: int) -> float:
         fleet = fleet_of(members)
         election = StoreFollowerElection(fleet, 2.0)
 
@@ -140,13 +141,13 @@
             fleet.ahead_in_workers(0, 1.0)
 
         work()
-        return seconds(work)
+        return shortest_seconds(work)
 
-    assert ask(400) < 4.0 * ask(8)
+    assert query_seconds(400) < 4.0 * query_seconds(8)
 
 
-def test_the_strong_own_what_a_zone_shares() -> None:
-    """A zone of 3 machines of 2.15 processors and 27 of 0.52: the strong ones decide."""
+def test_strong_members_own_what_a_zone_shares() -> None:
+    """In a zone of 3 machines of 2.15 processors and 27 of 0.52, only strong ones are owners."""
     fleet = Fleet("0", "a", "10.0.0.0:1", own_strength=0.516)
     fleet.own_phase = Phase.SERVING
     for number in range(1, 30):
@@ -162,7 +163,7 @@
     assert len(owners) > 10
 
 
-def test_members_of_unknown_or_like_strength_share_evenly() -> None:
+def test_members_of_unknown_or_similar_strength_share_ownership_evenly() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1", own_strength=1.07)
     fleet.own_phase = Phase.SERVING
     for number in range(1, 6):
@@ -174,8 +175,8 @@
     assert len({fleet.zone_owner("a", f"service {key}", 0.1) for key in range(60)}) == 6
 
 
-def test_what_members_send_does_not_grow_beyond_a_full_fleet() -> None:
-    """Bytes a second that a member reads of the others, all of them telling as much."""
+def test_bytes_read_do_not_grow_above_the_full_rate_fleet_size() -> None:
+    """Return the bytes per second that a member reads from the others at equal rates."""
 
     def read(members: int) -> float:
         fleet = fleet_of(members)
@@ -185,8 +186,8 @@
     assert read(401) == pytest.approx(6_250)
 
 
-def test_an_owner_is_heard_oftener() -> None:
+def test_an_owner_sends_heartbeats_more_often() -> None:
     fleet = fleet_of(195)
-    seldom = fleet.interval()
+    usual_interval = fleet.interval()
     fleet.owns = True
-    assert fleet.interval() < seldom / 4
+    assert fleet.interval() < usual_interval / 4
