--- a/src/corkcrank/machines/__init__.py
+++ b/src/corkcrank/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Entry machines and back ends."""
+"""Gateway membership, copies of the platform's store, and zone leases."""
--- a/src/corkcrank/machines/entry_reader.py
+++ b/src/corkcrank/machines/entry_reader.py
@@ -1,4 +1,4 @@
-"""Reads rows of the list of workers, and keeps what is known of those that name none."""
+"""Reads rows of the list of workers, and keeps the reasons why entries are unreadable."""
 
 from collections.abc import Sequence
 from collections.abc import Set as AbstractSet
@@ -13,17 +13,17 @@
 from corkcrank.machines.worker_changes import WorkerChange
 
 MOST_KEPT = 100
-"""Unreadable entries that a state dump tells at most, the newest."""
+"""Maximum number of unreadable entries in a state dump: the newest ones."""
 
-NO_START = Unreadable("no start, although the platform tells others'")
+NO_START = Unreadable("start is missing although the platform reports it for other workers")
 
 
 class EntryReader:
-    """Turns rows into changes; ``on_unreadable`` hears of each row that cannot be read.
+    """Converts rows to changes; calls ``on_unreadable`` for each row that cannot be read.
 
-    A platform tells the start of every worker or of none. Where most entries tell one, an entry
-    without any was left by another writer, however whole it looks otherwise; a single one that
-    tells a start where no other does must not put all others out of use.
+    A platform reports the start time of every worker or of none. Where most entries have one, an
+    entry without it comes from another writer, even if it is complete otherwise. A single entry
+    that has a start where no other does must not make all others unusable.
     """
 
     def __init__(self, documents: DocumentCodec) -> None:
@@ -33,17 +33,17 @@
         self._tells_start: dict[str, bool] = {}
 
     def changes(self, answer: StoreRows, since: int) -> list[WorkerChange]:
-        """Return the changes of an answer that are newer than revision ``since``."""
+        """Return the changes in a store's answer that are newer than revision ``since``."""
         for broken in answer.nameless:
             self.on_unreadable(UnreadableDocument(DocumentKind.ENTRY, "", broken.reason))
         changes = []
         rows = [row for row in answer.rows if row.revision > since]
         records = [self._documents.worker(row) for row in rows]
         self._note_starts(rows, records)
-        starts_told = 2 * sum(self._tells_start.values()) > len(self._tells_start)
+        starts_expected = 2 * sum(self._tells_start.values()) > len(self._tells_start)
         for row, found in zip(rows, records, strict=True):
             self.unreadable.pop(row.key, None)
-            if isinstance(found, WorkerRecord) and starts_told and found.born is None:
+            if isinstance(found, WorkerRecord) and starts_expected and found.born is None:
                 found = NO_START
             if isinstance(found, Unreadable):
                 self._note(row.key, found)
@@ -52,11 +52,11 @@
         return changes
 
     def note_readable(self, name: str) -> None:
-        """Take that a peer has read a newer entry of a worker, and that it names one."""
+        """Record that a peer has read a newer, valid entry of a worker."""
         self.unreadable.pop(name, None)
 
     def keep_only(self, listed: AbstractSet[str]) -> None:
-        """Forget the entries that a whole list does not hold any more."""
+        """Remove the entries that are no longer in a whole list."""
         for name in self.unreadable.keys() - listed:
             del self.unreadable[name]
         for name in self._tells_start.keys() - listed:
--- a/src/corkcrank/machines/lapsed_entries.py
+++ b/src/corkcrank/machines/lapsed_entries.py
@@ -1,18 +1,18 @@
-"""Entries of workers that went while the store was away.
+"""Deferred removal of workers whose entries expired during an outage of the store.
 
-A worker keeps its entry alive by writing to the store, so an outage that lasts longer than
-an entry makes live workers disappear. Those that live write again soon after the store is
-back; only who is still missing then is gone. Pure: the time is handed in.
+A worker keeps its entry alive by writing to the store, so an outage that outlasts an entry removes
+the entries of live workers. Live workers write theirs again soon after the store's return; only a
+worker that is still missing then counts as removed. Has no clock: callers pass the time.
 """
 
 from corkcrank.machines.worker_changes import WorkerChange
 
 RETURN_SECONDS = 2.0
-"""Time after the store's return within which live workers have written their entries."""
+"""Time after the store's return within which live workers write their entries again."""
 
 
 class LapsedEntries:
-    """Holds disappearances back that the store tells right after its return."""
+    """Defers the removals that the store reports right after its return."""
 
     def __init__(self) -> None:
         self._returned_at = float("-inf")
@@ -20,14 +20,15 @@
         self._whole_before: dict[str, int] = {}
 
     def store_returned(self, now: float) -> None:
-        """Note that the store answers again after it did not."""
+        """Record that the store answers again after an outage."""
         self._returned_at = now
 
     def hold(self, change: WorkerChange, now: float, whole_before: int | None = None) -> bool:
-        """Return whether a change waits; anything newer of its worker replaces it.
+        """Defer a removal right after the store's return; return whether it is deferred.
 
-        ``whole_before`` is the revision up to which a list with the worker is whole: the one
-        before the change, and less where a whole list showed only that the row has gone since.
+        A newer change of the same worker replaces it. ``whole_before`` is the revision up to
+        which a list that still has the worker is complete: the one before the change, or less if
+        a whole list showed only that the row was removed at some time since.
 
         >>> lapsed = LapsedEntries()
         >>> gone = WorkerChange("w", 7, None)
@@ -39,31 +40,31 @@
         (['w'], [])
         """
         self._held.pop(change.name, None)
-        waits = change.record is None and now - self._returned_at < RETURN_SECONDS
-        if waits:
+        deferred = change.record is None and now - self._returned_at < RETURN_SECONDS
+        if deferred:
             self._held[change.name] = change
             before = change.revision - 1 if whole_before is None else whole_before
             self._whole_before[change.name] = before
-        return waits
+        return deferred
 
     def forget(self, name: str) -> None:
-        """Hold nothing back of a worker: its row is there, and names it no more."""
+        """Discard the deferred removal of a worker whose row exists but no longer names it."""
         self._held.pop(name, None)
 
     def due(self, now: float) -> list[WorkerChange]:
-        """Return, once, the disappearances that are real."""
+        """Remove and return the deferred removals that are confirmed."""
         if now - self._returned_at < RETURN_SECONDS:
             return []
-        due = list(self._held.values())
+        confirmed = list(self._held.values())
         self._held.clear()
-        return due
+        return confirmed
 
     def due_in(self, now: float) -> float | None:
-        """Return the seconds until something is due, or ``None`` if nothing is held."""
+        """Return the seconds until the removals are confirmed; ``None`` if none is deferred."""
         if not self._held:
             return None
         return max(0.0, self._returned_at + RETURN_SECONDS - now)
 
     def whole_up_to(self, revision: int) -> int:
-        """Return the revision up to which a list is whole that lacks what is held back."""
+        """Return the revision up to which a list without the deferred removals is complete."""
         return min([revision, *(self._whole_before[name] for name in self._held)])
--- a/src/corkcrank/machines/leases.py
+++ b/src/corkcrank/machines/leases.py
@@ -1,9 +1,9 @@
 """Leases: one holder per scope, with a fence number that only rises.
 
-The row in the table is the only truth. Times are the holder's own clock, taken
-*before* the renewal was sent, so the holder always believes its lease ends earlier than
-any other process does. A candidate waits until it has seen the row unchanged for the
-whole duration plus :data:`LONGEST_FLIGHT_SECONDS`; clocks are never compared.
+The row in the table is authoritative. Times are read from the holder's local clock *before* the
+renewal is sent, so the holder expects its lease to expire earlier than any other process does. A
+candidate waits until the row was unchanged for the whole duration plus
+:data:`LONGEST_FLIGHT_SECONDS`; clocks of different processes are never compared.
 """
 
 from dataclasses import dataclass
@@ -19,11 +19,11 @@
 """Time between renewals."""
 
 LONGEST_FLIGHT_SECONDS = 1.0
-"""Bound on an order's flight; the next holder waits it out."""
+"""Maximum transit time of an order; the next holder waits this long before it takes over."""
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """The row kept in the table."""
+    """The lease's row in the table; an empty ``holder`` marks a released lease."""
 
     holder: MemberId
     address: Address
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneLease:
-    """A zone's lease as last seen."""
+    """A zone's lease as last read."""
 
     zone: str
     row: LeaseRow
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write ``row`` if the table still holds ``expected_revision``."""
+    """A write of ``row`` on condition that the table still has ``expected_revision``."""
 
     row: LeaseRow
     expected_revision: int
@@ -60,25 +60,25 @@
         self._seen_unchanged_since: float | None = None
 
     def holds(self, now: float, margin: float = 0.0) -> bool:
-        """Return whether the lease is held here for at least ``margin`` more seconds."""
+        """Return whether this process holds the lease for at least ``margin`` more seconds."""
         return self.row is not None and self._is_ours() and now + margin < self.held_until
 
     @property
     def fence(self) -> int:
-        """Return the fence number of the row last seen; zero when none was."""
+        """Return the fence number of the row last read; zero if there was none."""
         return self.row.fence if self.row is not None else 0
 
     def see(self, row: LeaseRow | None, revision: int, now: float) -> None:
-        """Take the row as read from the table or returned with a conflict."""
-        # A renewal of ours whose answer was lost shows up here too. When it was sent is not
-        # known any more, so it does not lengthen the lease; the next renewal does.
+        """Record the row as read from the table or returned with a conflict."""
+        # The row may stem from a local renewal whose answer was lost. Its send time is no longer
+        # known, so it does not extend the lease; the next renewal does.
         if revision != self.revision or self._seen_unchanged_since is None:
             self._seen_unchanged_since = now
         self.row = row
         self.revision = revision
 
     def next_write(self, now: float) -> WriteLease | None:
-        """Return the renewal or the take-over that is due, or ``None``."""
+        """Return the renewal or takeover to write now, or ``None``."""
         if self._seen_unchanged_since is None:
             return None
         if self.row is None:
@@ -87,17 +87,17 @@
             return self._renewal()
         if not self.row.holder:
             return self._claim(fence=self.row.fence + 1)
-        # A lapsed lease of our own is no exception: orders under its fence may still be in
-        # flight, and a former process of this name may have sent them.
+        # The wait also applies to an expired local lease: orders under its fence may still be
+        # in flight, sent by an earlier process of the same name.
         quiet_since = max(self._seen_unchanged_since, self.held_until - LEASE_SECONDS)
         if now - quiet_since < LEASE_SECONDS + LONGEST_FLIGHT_SECONDS:
             return None
         return self._claim(fence=self.row.fence + 1)
 
     def release(self) -> WriteLease | None:
-        """Return the write that gives the lease up, if it is held here.
+        """Return the write that releases the lease, or ``None`` if this member does not hold it.
 
-        Only for a holder that sends nothing more: the next one need not wait.
+        Only for a holder that sends no more orders: the next holder does not wait.
         """
         if self.row is None or not self._is_ours():
             return None
@@ -105,7 +105,7 @@
         return WriteLease(row, self.revision)
 
     def written(self, write: WriteLease, revision: int, sent_at: float) -> None:
-        """Take the table's word that ``write``, sent at ``sent_at``, was committed."""
+        """Record that the table committed ``write``, which was sent at ``sent_at``."""
         self.row = write.row
         self.revision = revision
         self.held_until = sent_at + LEASE_SECONDS
--- a/src/corkcrank/machines/orders.py
+++ b/src/corkcrank/machines/orders.py
@@ -1,8 +1,9 @@
-"""Reconciliation of model placements: which fenced orders to send, from what is held.
+"""Reconciliation of model placements: computes the fenced orders from the loaded models.
 
-Orders state the wanted end, so sending one twice is harmless. A worker that checks its
-orders refuses a lower fence. For one that does not, the sender re-checks its lease just
-before a bounded send, and the next holder waits out lease and longest flight.
+Orders state the wanted models, so sending one twice is harmless. A worker that checks fences
+rejects an order with a lower one. For a worker that does not, the sender checks its lease again
+just before a send of bounded duration, and the next holder waits for the end of the lease and the
+maximum transit time of an order.
 """
 
 from collections.abc import Iterable
@@ -17,13 +18,13 @@
     reports: Iterable[LoadReport],
     fence: int,
 ) -> tuple[ModelOrder, ...]:
-    """Return the orders that bring each reported worker to its wanted models."""
-    held = {report.worker: tuple(sorted(report.models)) for report in reports}
+    """Return the orders for the reported workers whose models differ from the wanted ones."""
+    loaded = {report.worker: tuple(sorted(report.models)) for report in reports}
     services = {worker.worker: worker.service for worker in workers}
     return tuple(
         ModelOrder(services[placement.worker], placement.worker, fence, placement.models)
         for placement in configuration.placements
         if placement.worker in services
-        and placement.worker in held
-        and held[placement.worker] != tuple(sorted(placement.models))
+        and placement.worker in loaded
+        and loaded[placement.worker] != tuple(sorted(placement.models))
     )
--- a/src/corkcrank/machines/peer_routes.py
+++ b/src/corkcrank/machines/peer_routes.py
@@ -1,4 +1,4 @@
-"""The routes that every daemon serves to peers and operators."""
+"""HTTP routes that every daemon serves to peers and operators."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -24,7 +24,7 @@
 
 
 class PeerRoutes:
-    """Serves a daemon's peer address."""
+    """Handlers of the requests to a daemon's peer address."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._encoded = b""
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes to an application, and count what peers exchange over it."""
+        """Add the routes to an application, and count the bytes that peers exchange."""
         application.middlewares.append(self._count)
         application.add_routes(
             [
--- a/src/corkcrank/machines/relay.py
+++ b/src/corkcrank/machines/relay.py
@@ -1,7 +1,7 @@
-"""The relay tree over which a zone's digest reaches every member.
+"""The relay tree that distributes a zone's digest to every member.
 
-A member passes each digest on once, to the members below its place. The members below one
-that gives no answer are served from above it, until the holder drops it.
+A member forwards each digest once, to its children in the tree. If a child does not answer, its
+parent sends to the child's children, until the zone's holder removes the child from the members.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from corkcrank.zones.peer_messages import Enclosures
 
 ROOT = -1
-"""Place of the holder as the one who publishes."""
+"""Position in the tree of the holder that publishes digests: above all members."""
 
 
 class Relay:
-    """One member's part in the relay tree."""
+    """One member's node of the relay tree."""
 
     def __init__(self, member: str, view: MemberView, peers: PeerClient) -> None:
         self._member = member
@@ -26,7 +26,7 @@
         self._last_passed_on = (-1, -1)
 
     async def pass_on(self, digest: ZoneDigest) -> None:
-        """Send a digest to the members below this one, once."""
+        """Send a digest to this member's children, once."""
         if digest.membership_hash != self._view.tables.membership_hash:
             return
         position = self._view.position(self._member)
@@ -36,31 +36,31 @@
         await self.send_below(digest, position)
 
     async def send_below(self, digest: ZoneDigest, position: int) -> None:
-        """Send a digest to the members below ``position``."""
+        """Send a digest to the children of the member at ``position``."""
         members = self._view.tables.membership.members
         targets = relay_targets(members, position)
         if not targets:
             return
-        small = encode_digest(digest, self._view.tables, Enclosures())
-        await asyncio.gather(*(self._push(digest, small, members, target) for target in targets))
+        bare = encode_digest(digest, self._view.tables, Enclosures())
+        await asyncio.gather(*(self._push(digest, bare, members, target) for target in targets))
 
     async def _push(
         self,
         digest: ZoneDigest,
-        small: bytes,
+        bare: bytes,
         members: tuple[MemberEntry, ...],
         target: int,
     ) -> None:
         entry = members[target]
         if entry.member == self._member:
-            # A place of its own right below the one it serves for.
+            # This member is itself a child of the position that it sends for.
             await self.send_below(digest, target)
             return
-        reply = await self._peers.push_digest(entry.address, small)
+        reply = await self._peers.push_digest(entry.address, bare)
         if reply is None:
             await self.send_below(digest, target)
             return
         missing = self._view.missing_from(reply, digest)
         if missing.directory or missing.membership:
-            large = encode_digest(digest, self._view.tables, missing)
-            await self._peers.push_digest(entry.address, large)
+            complete = encode_digest(digest, self._view.tables, missing)
+            await self._peers.push_digest(entry.address, complete)
--- a/src/corkcrank/machines/store_contact.py
+++ b/src/corkcrank/machines/store_contact.py
@@ -1,8 +1,8 @@
-"""The newest contact with the store about a table, as members pass it on to each other.
+"""The newest known answer of the store about a table, as members report it to each other.
 
-Only few members ask the store. All tell the newest answer that they know of, marked with
-the store's own steady clock, so that an answer counts once however often it is passed on:
-an age alone would be understated by each way and rise no more.
+Only a few members ask the store. Every member reports the newest answer that it knows, with the
+time on the store's monotonic clock, so that an answer counts once however often it is forwarded.
+An age alone would lose the transit time at each hop and stop rising.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class ReportedStoreContact(msgspec.Struct, frozen=True, array_like=True):
-    """An answer of the store at ``store_time``, heard ``age`` seconds before it is reported."""
+    """An answer of the store at ``store_time``, received ``age`` seconds before the report."""
 
     store_time: float = float("-inf")
     age: float = float("inf")
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContact:
-    """An answer of the store, and when it was heard on the own steady clock."""
+    """An answer of the store, and its time of receipt on the local monotonic clock."""
 
     store_time: float = float("-inf")
     heard_at: float = float("-inf")
 
     def reported(self, now: float) -> ReportedStoreContact:
-        """Return the contact as it is reported now."""
+        """Return the contact as a report sent at ``now``."""
         return ReportedStoreContact(self.store_time, now - self.heard_at)
 
 
 def newer_contact(known: StoreContact, reported: ReportedStoreContact, now: float) -> StoreContact:
-    """Return what is known once a contact was reported.
+    """Return the newer of the known contact and one that a peer reported.
 
     >>> known = newer_contact(StoreContact(), ReportedStoreContact(5.0, 0.2), now=10.0)
     >>> known, newer_contact(known, ReportedStoreContact(5.0, 0.1), now=11.0) == known
@@ -42,5 +42,5 @@
 
 
 def newest_contact(one: StoreContact, other: StoreContact) -> StoreContact:
-    """Return the contact of the later moment on the store's clock."""
+    """Return the contact with the later time on the store's clock."""
     return max(one, other, key=lambda contact: contact.store_time)
--- a/src/corkcrank/machines/store_followers.py
+++ b/src/corkcrank/machines/store_followers.py
@@ -1,9 +1,9 @@
-"""Which gateways follow the platform's store, so that not all of them have to.
+"""Election of the gateways that follow the platform's store on behalf of all gateways.
 
-One gateway of each zone, and a few at least in all, hold the store's long polls and tell
-the others what changed. Every heartbeat tells how long ago its sender last had the store's
-answer. A gateway that hears of no recent answer follows the store itself until it does, so
-no failure of the chosen ones has to be detected. Pure: the time is handed in.
+At least one gateway of each zone, and a minimum number in all, hold long polls at the store and
+report changes to the others. Every heartbeat carries the time since the sender's newest answer of
+the store. A gateway without a recent answer follows the store itself until it receives one, so
+failures of the elected followers need no detection. Has no clock: callers pass the time.
 """
 
 from dataclasses import dataclass
@@ -14,38 +14,40 @@
 from corkcrank.machines.fleet_view import FleetView
 
 LEAST_WATCHERS = 4
-"""Gateways that follow the store at least, if the fleet has as many."""
+"""Minimum number of gateways that follow the store, if the fleet has that many."""
 
 STALE_SHARE = 0.6
-"""Share of the shortest bound after which news of the store counts as old."""
+"""Time after which an answer of the store counts as stale, as a share of the shortest bound."""
 
 LATER_STALE_FACTOR = 1.3
-"""Gateways far down the order step in later than the next ones: not all step in at once."""
+"""Factor on the stale time of gateways that are not the next in the order: keeps all gateways
+from starting to follow the store at once."""
 
 WATCH_SHARE = 0.5
-"""Longest long poll as a share of the time until news is stale: each empty answer confirms what is
-known."""
+"""Maximum duration of a long poll as a share of the stale time: an empty answer confirms the known
+state before it becomes stale."""
 
 GATHER_SHARE = 0.1
-"""Time for which changes gather before a follower asks for the next ones, as a share of the
-shortest bound: workers that start, warm up or leave together change one after the other."""
+"""Time that a follower waits after changes before it asks for more, as a share of the shortest
+bound: workers that start, warm up or leave together change one after the other."""
 
 RETRY_SECONDS = (0.1, 0.8)
-"""Shortest and longest pause of a follower after a failed call; doubled each time."""
+"""Minimum and maximum pause of a follower after a failed call; doubles with each failure."""
 
 MOST_DOUBLINGS = 8
-"""Doublings of a pause after which it is at its longest in any case; keeps the power finite."""
+"""Maximum doublings of the pause, which has reached its maximum by then; keeps the power of 2
+finite."""
 
 STAND_IN_CALLS_PER_SECOND = 40.0
-"""Calls a second about one table with which all others together look whether an outage is
-over, as long as that lets each ask once in the time after which news counts as old."""
+"""Maximum calls a second for one table by which all non-followers together check whether an outage
+is over, as long as each can then ask once in the stale time."""
 
 _ORDER_KEY = "store"
 
 
 @dataclass(frozen=True, slots=True)
 class _WatchOrder:
-    """The serving members that follow the store, the others, and who of them steps in first."""
+    """The serving members by role: followers, the others, and those that stand in first."""
 
     followers: frozenset[str] = frozenset()
     others: frozenset[str] = frozenset()
@@ -53,10 +55,10 @@
 
 
 class StoreFollowerElection:
-    """Decides at every moment whether this gateway follows the store itself."""
+    """Decides whether this gateway follows the store."""
 
     def __init__(self, fleet: Fleet, shortest_bound: float) -> None:
-        """Take the shortest time in seconds within which news must be acted upon."""
+        """Set the fleet, and the shortest time in seconds within which updates must take effect."""
         self._fleet = fleet
         self.shortest_bound = shortest_bound
         self._weights: dict[str, int] = {}
@@ -69,16 +71,19 @@
 
     @property
     def watch_seconds(self) -> float:
-        """Return how long one question to the store may wait for a change."""
+        """Return the maximum duration of a long poll in seconds."""
         return WATCH_SHARE * self._stale_seconds
 
     @property
     def gather_seconds(self) -> float:
-        """Return how long a follower lets changes gather after it has heard of some."""
+        """Return the seconds that a follower waits after changes before the next poll."""
         return GATHER_SHARE * self.shortest_bound
 
     def watches(self, table: StoreTable, own_answer_at: float, now: float) -> bool:
-        """Return whether to follow a table; ``own_answer_at`` is of the store's last answer."""
+        """Return whether to follow a table.
+
+        ``own_answer_at`` is the time of the store's last answer to this gateway.
+        """
         order = self._order(now)
         own = self._fleet.own_name
         if own in order.followers:
@@ -88,17 +93,17 @@
         return now - confirmed > self._stale_seconds * factor
 
     def follows(self, now: float) -> bool:
-        """Return whether this gateway is one of those that follow the store for the others."""
+        """Return whether this gateway is elected to follow the store for the others."""
         return self._fleet.own_name in self._order(now).followers
 
     def retry_seconds(self, failures: int, now: float) -> float:
-        """Return the longest pause after a number of failed calls in a row.
+        """Return the maximum pause in seconds after a number of consecutive failed calls.
 
-        Followers see the store's return first and tell the others. Those ask too, for the
-        store may turn just the followers away, but seldom in a large fleet.
+        Followers detect the store's return first and report it to the others. The others also
+        ask, since the store may refuse only the followers, but rarely in a large fleet.
         """
-        shortest, longest = RETRY_SECONDS
-        pause = min(longest, shortest * 2.0 ** min(failures, MOST_DOUBLINGS))
+        min_pause, max_pause = RETRY_SECONDS
+        pause = min(max_pause, min_pause * 2.0 ** min(failures, MOST_DOUBLINGS))
         order = self._order(now)
         if self._fleet.own_name in order.followers:
             return pause
@@ -106,7 +111,7 @@
         return max(pause, min(self._stale_seconds, shared))
 
     def _order(self, now: float) -> _WatchOrder:
-        """Return who follows the store; worked out anew only when the members change."""
+        """Return the order of followers; recomputed only when the members change."""
         view = self._fleet.view(now)
         if self._order_of is not view:
             self._order_of = view
@@ -121,7 +126,7 @@
         return _WatchOrder(frozenset(followers), frozenset(others), frozenset(next_ones))
 
     def _chosen(self, order: list[str]) -> set[str]:
-        """Return the first of each zone, and the first of all until there are enough."""
+        """Return the first member of each zone, then the first of the order up to the minimum."""
         first_of_zone: dict[str, str] = {}
         for name in order:
             first_of_zone.setdefault(self._fleet.zone_of(name), name)
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -1,8 +1,8 @@
 """One gateway's copy of the configuration, of evacuated zones and of the list of workers.
 
-They come from the store by a long poll each, or from the peers that follow the store
-(:mod:`corkcrank.machines.store_followers`). Only higher configuration versions and newer rows
-are adopted, whatever the source.
+A gateway reads them from the store by one long poll for each table, or receives them from the
+peers that follow the store (:mod:`corkcrank.machines.store_followers`). Only higher configuration
+versions and newer rows are adopted, whatever the source.
 """
 
 import asyncio
@@ -31,15 +31,16 @@
 from corkcrank.machines.worker_changes import RecentWorkerChanges, WorkerChange, WorkerChangeBatch
 
 NOT_FOLLOWING_SECONDS = 0.2
-"""Time between looks at whether this gateway is to follow the store: a tenth of a bound on news
-of 2 s."""
+"""Interval at which a gateway that does not follow the store checks whether it should: a tenth of
+an update bound of 2 s."""
 
 RETRY_JITTER = (0.5, 1.0)
-"""Part of the longest pause after a failed call that is waited: not all ask at once."""
+"""Range of the random share of the maximum pause after a failed call: spreads the retries of the
+gateways."""
 
 
 class StoreMirror:
-    """Follows the store's tables; ``on_change`` is called after each change taken."""
+    """Local copy of the store's tables; calls ``on_change`` after each applied change."""
 
     def __init__(
         self,
@@ -72,20 +73,20 @@
 
     @property
     def version(self) -> int:
-        """Return the configuration version in force; zero before the first."""
+        """Return the version of the current configuration; zero before the first one."""
         return self.configuration.version if self.configuration is not None else 0
 
     def profile(self, service: str) -> ServiceProfile | None:
-        """Return what the configuration in force says of a service, if it knows it."""
+        """Return the profile of a service in the current configuration, or ``None``."""
         return self.configuration.service(service) if self.configuration is not None else None
 
     def age(self, table: StoreTable, now: float) -> float:
-        """Return the time since the store last answered about a table, in seconds."""
-        heard = self.heard_at.get(table)
-        return now - heard if heard is not None else float("inf")
+        """Return the seconds since the store's last answer about a table; infinite before it."""
+        answered_at = self.heard_at.get(table)
+        return now - answered_at if answered_at is not None else float("inf")
 
     def adopt(self, configuration: OpaqueConfiguration, source: str) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Adopt a configuration if it is newer; return whether it was adopted."""
         if configuration.version <= self.version:
             return False
         previous = self.version
@@ -102,7 +103,7 @@
         return True
 
     def take_workers(self, records: tuple[WorkerRecord, ...], revision: int, source: str) -> None:
-        """Take a whole list of workers unless it is older than the one known."""
+        """Replace the list of workers, unless the new list is older or as old."""
         if self.workers_known and revision <= self.workers.revision:
             return
         known = self.workers.by_name()
@@ -115,10 +116,10 @@
         self._note_list(source)
 
     async def follow(self, table: StoreTable) -> None:
-        """Follow one table for ever.
+        """Follow one table until cancelled.
 
-        After a failure the store is asked without waiting: a long poll sent while it is
-        silent would hide its return for as long as the poll may take.
+        After a failure the store is polled with a wait of zero: a long poll that is sent while
+        the store is silent would hide its return for the whole duration of the poll.
         """
         cursor: int | None = None
         failures = 0
@@ -151,9 +152,9 @@
                 await asyncio.sleep(self._election.gather_seconds)
 
     def is_follower(self, table: StoreTable) -> bool:
-        """Return whether this gateway follows a table of the store itself."""
-        heard_at = self.heard_at.get(table, float("-inf"))
-        return self._election.watches(table, heard_at, clock.now())
+        """Return whether this gateway polls the store for a table."""
+        answered_at = self.heard_at.get(table, float("-inf"))
+        return self._election.watches(table, answered_at, clock.now())
 
     def _apply(self, table: StoreTable, answer: StoreRows, *, whole: bool) -> None:
         if table is StoreTable.CONFIGURATION:
@@ -180,7 +181,7 @@
             self.on_store_change()
 
     def take_zone_states(self, states: tuple[ZoneState, ...], source: str) -> bool:
-        """Take what a peer tells of zones; return whether any of them changed."""
+        """Apply zone states reported by a peer; return whether any state changed."""
         changed = self.evacuations.take(states)
         if changed:
             self._put_evacuations_in_force(changed, source)
@@ -203,15 +204,16 @@
         self.on_change()
 
     def _watch_seconds(self, table: StoreTable) -> float:
-        longest = self._election.watch_seconds
-        due = self._lapsed.due_in(clock.now()) if table is StoreTable.WORKERS else None
-        return longest if due is None else min(longest, due)
+        max_wait = self._election.watch_seconds
+        remaining = self._lapsed.due_in(clock.now()) if table is StoreTable.WORKERS else None
+        return max_wait if remaining is None else min(max_wait, remaining)
 
     def _apply_workers(self, answer: StoreRows, *, whole: bool) -> None:
-        """Take rows of the store, and tell peers of them.
+        """Apply rows of the store, and queue them for the reports to peers.
 
-        A whole list holds no row that is gone, so as batch it claims nothing of what came
-        before it: a peer that took it for all changes would keep for ever what has gone.
+        A whole list does not contain the rows that were removed earlier. Its batch therefore
+        covers no revision before the list: a peer that took it for all changes would keep the
+        removed workers permanently.
         """
         now = clock.now()
         changes = self.entries.changes(answer, self.workers.revision)
@@ -225,11 +227,11 @@
                 if record.name not in listed
             ]
         known = self.workers.revision if whole else None
-        taken = [change for change in changes if not self._held_back(change, now, known)]
+        applied = [change for change in changes if not self._held_back(change, now, known)]
         newest = max((change.revision for change in changes), default=0)
         revision = self._lapsed.whole_up_to(answer.revision if whole else newest)
         since = revision if whole else self.workers.revision
-        self._take_from_store(WorkerChangeBatch(since, revision, tuple(taken)), now)
+        self._take_from_store(WorkerChangeBatch(since, revision, tuple(applied)), now)
         if whole:
             self.workers.whole_up_to(revision)
             self.workers.forget_changes_before(answer.revision)
@@ -242,9 +244,9 @@
             self.on_store_change()
 
     def _held_back(self, change: WorkerChange, now: float, whole_before: int | None) -> bool:
-        """Return whether a worker's disappearance may be its entry's alone.
+        """Return whether a removal is deferred because only the worker's entry may have lapsed.
 
-        An entry that is there and names no worker has not lapsed: somebody has written it.
+        An entry that exists but names no worker has not lapsed: some writer replaced it.
         """
         known = self.workers.named(change.name)
         if change.record is None and (known is None or known.leaving):
@@ -252,19 +254,21 @@
         if change.name in self.entries.unreadable:
             self._lapsed.forget(change.name)
             return False
-        waits = self._lapsed.hold(change, now, whole_before)
-        if waits:
+        deferred = self._lapsed.hold(change, now, whole_before)
+        if deferred:
             self._log.write(LogEvent.WORKER_LAPSED, worker=change.name, revision=change.revision)
-        return waits
+        return deferred
 
     def _take_lapsed(self) -> None:
-        """Take the disappearances that were held back and turned out real."""
+        """Apply the deferred removals that are confirmed: the worker did not register again."""
         now = clock.now()
-        due = self._lapsed.due(now)
-        if due:
-            newest = max(change.revision for change in due)
+        confirmed = self._lapsed.due(now)
+        if confirmed:
+            newest = max(change.revision for change in confirmed)
             known = self.workers.revision
-            self._take_from_store(WorkerChangeBatch(known, max(newest, known), tuple(due)), now)
+            self._take_from_store(
+                WorkerChangeBatch(known, max(newest, known), tuple(confirmed)), now
+            )
 
     def _note_list(self, source: str) -> None:
         records = self.workers.records()
@@ -278,12 +282,13 @@
         self.on_change()
 
     def take_changes(self, batch: WorkerChangeBatch, source: str) -> bool:
-        """Take changed rows; return whether any was newer than what was known.
+        """Apply changed rows; return whether the list of workers changed.
 
-        The list is whole up to them if no change before was missed, and up to before a removal
-        that is held back: counted as known, it would be passed over when it is due.
+        The list is then complete up to the batch's revision if no earlier change was missed, but
+        only up to the revision before a deferred removal: if that removal counted as known, it
+        would be ignored as outdated when it is confirmed.
         """
-        taken = [
+        applied = [
             change
             for change in batch.changes
             if self.workers.apply_row(change.name, change.record, change.revision)
@@ -291,17 +296,17 @@
         if self.workers_known and self.workers.revision >= batch.since:
             self.workers.whole_up_to(self._lapsed.whole_up_to(batch.revision))
         now = clock.now()
-        for change in taken:
+        for change in applied:
             if change.record is not None:
                 self.entries.note_readable(change.name)
                 self.warming.note(change.record, now)
             self._log_change(change, source)
-        if taken:
+        if applied:
             self.on_change()
-        return bool(taken)
+        return bool(applied)
 
     def changes_since(self, revision: int) -> WorkerChangeBatch | None:
-        """Return what changed in the list of workers after a revision, if that is known."""
+        """Return the changes of the list of workers after a revision, or ``None`` if unknown."""
         rows = self.workers.changes_since(revision)
         if rows is None or not self.workers_known:
             return None
@@ -336,5 +341,5 @@
         self._log.write(event, table=table.value, detail=detail)
 
     def _pause(self, failures: int) -> float:
-        longest = self._election.retry_seconds(failures, clock.now())
-        return longest * self._random.uniform(*RETRY_JITTER)
+        max_pause = self._election.retry_seconds(failures, clock.now())
+        return max_pause * self._random.uniform(*RETRY_JITTER)
--- a/src/corkcrank/machines/worker_changes.py
+++ b/src/corkcrank/machines/worker_changes.py
@@ -1,7 +1,7 @@
-"""Changed rows of the list of workers, as gateways tell them to each other.
+"""Changed rows of the list of workers, as gateways report them to each other.
 
-Rows carry the revision that the store gave them, so they may be told twice and in any
-order. ``since`` and ``revision`` say between which states of the list the batch is whole.
+Rows carry the revision that the store assigned, so they may be reported twice and in any order.
+``since`` and ``revision`` bound the revisions for which a batch is complete.
 """
 
 from collections import deque
@@ -11,14 +11,15 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 
 TOLD_SECONDS = 1.5
-"""Time for which a change is told: a few heartbeats, since datagrams are lost."""
+"""Time for which a change is reported: a few heartbeats, since datagrams can be lost."""
 
 MOST_TOLD = 20
-"""Changes that one heartbeat tells at most, the newest; who misses more asks for the list."""
+"""Maximum number of changes in a heartbeat, the newest; a peer that misses more asks for
+the list."""
 
 
 class WorkerChange(msgspec.Struct, frozen=True, array_like=True):
-    """One changed row; ``record`` is ``None`` where it names no worker to use any more."""
+    """One changed row; ``record`` is ``None`` if the row no longer names a usable worker."""
 
     name: str
     revision: int
@@ -34,19 +35,19 @@
 
 
 class RecentWorkerChanges:
-    """The changes that this gateway learned of in the last moments."""
+    """The changes that this gateway received within the report period."""
 
     def __init__(self) -> None:
         self._batches: deque[tuple[float, WorkerChangeBatch]] = deque()
 
     def add(self, batch: WorkerChangeBatch, now: float) -> None:
-        """Note changes that are to be told."""
+        """Add a batch of changes to report."""
         self._batches.append((now, batch))
 
     def current(self, now: float) -> WorkerChangeBatch | None:
-        """Return what is to be told now: the newest batches that fit and follow each other.
+        """Return the changes to report now: the newest contiguous batches that fit.
 
-        What this gateway learned by a whole list in between is in no batch.
+        Changes that this gateway received in a whole list are in no batch.
 
         >>> recent = RecentWorkerChanges()
         >>> recent.add(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
@@ -58,15 +59,15 @@
         """
         while self._batches and now - self._batches[0][0] > TOLD_SECONDS:
             self._batches.popleft()
-        told: list[WorkerChangeBatch] = []
+        reported: list[WorkerChangeBatch] = []
         count = 0
         for _, batch in reversed(self._batches):
             count += len(batch.changes)
-            gap = bool(told) and batch.revision < told[0].since
+            gap = bool(reported) and batch.revision < reported[0].since
             if count > MOST_TOLD or gap:
                 break
-            told.insert(0, batch)
-        if not told:
+            reported.insert(0, batch)
+        if not reported:
             return None
-        changes = tuple(change for batch in told for change in batch.changes)
-        return WorkerChangeBatch(told[0].since, told[-1].revision, changes)
+        changes = tuple(change for batch in reported for change in batch.changes)
+        return WorkerChangeBatch(reported[0].since, reported[-1].revision, changes)
--- a/tests/core/test_leases_and_orders.py
+++ b/tests/core/test_leases_and_orders.py
@@ -1,7 +1,7 @@
-"""Leases and fenced orders under pauses: two holders are never both obeyed.
+"""Leases and fenced orders under pauses: a worker never obeys two holders at a time.
 
-Clocks of different members run apart; a member can be paused between the check of its
-lease and the flight of its order, for no longer than the bound on the flight.
+Clocks of different members differ. A member can pause between the check of its lease and the
+arrival of its order, at most for the maximum transit time of an order.
 """
 
 import random
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class World:
+class Simulation:
     source: random.Random
     checks_fence: bool
     lease_type: type[Lease] = Lease
@@ -59,12 +59,12 @@
 
     def advance(self, seconds: float) -> None:
         self.now += seconds
-        due = sorted(
+        landing = sorted(
             (flight for flight in self.flights if flight.lands_at <= self.now),
             key=lambda flight: flight.lands_at,
         )
         self.flights = [flight for flight in self.flights if flight.lands_at > self.now]
-        for flight in due:
+        for flight in landing:
             self.land(flight)
 
     def land(self, flight: Flight) -> None:
@@ -72,7 +72,7 @@
             return
         self.worker_fence = max(self.worker_fence, flight.fence)
         self.obeyed.append(flight.fence)
-        assert self.obeyed == sorted(self.obeyed), "an older holder was obeyed after a newer"
+        assert self.obeyed == sorted(self.obeyed), "an older holder was obeyed after a newer one"
 
     def tick(self, member: Member) -> None:
         if member.paused_until > self.now:
@@ -98,7 +98,7 @@
         self.row, self.revision = write.row, self.revision + 1
         if fate < 0.2:
             return
-        # The answer may be read late: the lease is counted from before the send.
+        # The answer may be read late, so the lease counts from the time before the send.
         member.lease.written(write, self.revision, sent_at)
 
     def order(self, member: Member) -> None:
@@ -109,20 +109,20 @@
         self.flights.append(Flight(member.lease.fence, self.now + flight))
 
 
-def walk(world: World) -> None:
+def run_simulation(simulation: Simulation) -> None:
     for _ in range(STEPS):
-        world.advance(world.source.choice((0.05, 0.3, 1.0)))
-        world.tick(world.source.choice(world.members))
+        simulation.advance(simulation.source.choice((0.05, 0.3, 1.0)))
+        simulation.tick(simulation.source.choice(simulation.members))
 
 
 @settings(max_examples=200)
 @given(seed=st.integers(0, 1 << 32), checks_fence=st.booleans())
 def test_two_holders_are_never_both_obeyed(seed: int, checks_fence: bool) -> None:
-    walk(World(random.Random(seed), checks_fence))
+    run_simulation(Simulation(random.Random(seed), checks_fence))
 
 
 class ImpatientLease(Lease):
-    """Broken on purpose: takes over as soon as it sees another holder."""
+    """Faulty on purpose: takes over as soon as it reads a row of another holder."""
 
     def next_write(self, now: float) -> WriteLease | None:
         if self.row is not None and self.row.holder != self.member:
@@ -131,24 +131,24 @@
 
 
 class TrustingLease(Lease):
-    """Broken on purpose: believes in its lease for ever."""
+    """Faulty on purpose: never lets its lease expire."""
 
     def holds(self, now: float, margin: float = 0.0) -> bool:
         return self.row is not None and self.row.holder == self.member
 
 
 @pytest.mark.parametrize("broken", [ImpatientLease, TrustingLease])
-def test_the_model_finds_broken_leases(broken: type[Lease]) -> None:
+def test_the_simulation_detects_faulty_leases(broken: type[Lease]) -> None:
     @settings(max_examples=200, phases=[Phase.generate], report_multiple_bugs=False)
     @given(seed=st.integers(0, 1 << 32))
     def search(seed: int) -> None:
-        walk(World(random.Random(seed), checks_fence=False, lease_type=broken))
+        run_simulation(Simulation(random.Random(seed), checks_fence=False, lease_type=broken))
 
     with pytest.raises(AssertionError, match="older holder"):
         search()
 
 
-def test_released_lease_is_taken_at_once_under_a_higher_fence() -> None:
+def test_a_released_lease_is_claimed_at_once_with_a_higher_fence() -> None:
     lease = Lease("zone", MemberId("next"), Address(""))
     lease.see(LeaseRow(MemberId(""), Address(""), fence=4, renewal=9), revision=7, now=0.0)
     write = lease.next_write(0.0)
@@ -166,5 +166,7 @@
         LoadReport(WorkerId("x"), False, 0, 0, 8, models=("m2", "m1")),
         LoadReport(WorkerId("y"), False, 0, 0, 8, models=("m1",)),
     ]
-    due = orders_due(configuration, workers, reports, fence=3)
-    assert [(order.worker, order.fence, order.models) for order in due] == [("y", 3, ("m1", "m2"))]
+    orders = orders_due(configuration, workers, reports, fence=3)
+    assert [(order.worker, order.fence, order.models) for order in orders] == [
+        ("y", 3, ("m1", "m2"))
+    ]
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay tree: one digest reaches every live member, whoever holds the zone."""
+"""The relay tree: a digest reaches every live member, whichever member holds the zone."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 
 class DirectPeers(PeerClient):
-    """Hands digests straight to other agents; dead ones give no answer."""
+    """Passes digests directly to other agents; dead agents do not answer."""
 
     def __init__(self, agents: dict[str, MemberAgent], dead: set[str]) -> None:
         self._traffic = ControlTraffic()
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's store: rows with revisions, a feed, trouble to switch on."""
+"""Stand-in for the platform's store: rows with revisions, a feed, and failures to switch on."""
 
 import asyncio
 import base64
@@ -11,7 +11,7 @@
 
 
 class StandinStore:
-    """Rows with revisions, a feed, and trouble to switch on."""
+    """Rows with revisions, a feed, and failures that a test can switch on."""
 
     def __init__(self) -> None:
         self.server = Server(self._handle)
@@ -28,12 +28,12 @@
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         self.rows[table, key] = (data, self.revision)
-        self._note(table, key, data)
+        self._record_change(table, key, data)
 
     def remove(self, table: str, key: str) -> None:
         self.revision += 1
         self.rows.pop((table, key), None)
-        self._note(table, key, None)
+        self._record_change(table, key, None)
 
     def forget_history(self) -> None:
         self.changes.clear()
@@ -41,7 +41,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _note(self, table: str, key: str, data: bytes | None) -> None:
+    def _record_change(self, table: str, key: str, data: bytes | None) -> None:
         self.changes.append((table, key, data, self.revision))
         self._changed.set()
         self._changed = asyncio.Event()
@@ -73,7 +73,7 @@
         since = int(request.query["since_revision"])
         if since < self.oldest_revision:
             return web.Response(status=410)
-        if not self._since(table, since):
+        if not self._rows_since(table, since):
             changed = self._changed
             try:
                 async with asyncio.timeout(int(request.query["wait_ms"]) / 1000):
@@ -82,9 +82,9 @@
                 pass
             if since < self.oldest_revision:
                 return web.Response(status=410)
-        return self._answer(rows=self._since(table, since))
+        return self._answer(rows=self._rows_since(table, since))
 
-    def _since(self, table: str, since: int) -> list[dict[str, Any]]:
+    def _rows_since(self, table: str, since: int) -> list[dict[str, Any]]:
         found = []
         for name, key, data, revision in self.changes:
             if name == table and revision > since:
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -1,4 +1,4 @@
-"""The configuration in force: only higher versions, through trouble of the store."""
+"""A gateway adopts only higher configuration versions, also through failures of the store."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 MORE = [*ROUTES, route("added", "safe", "plain")]
 
 
-async def test_new_version_is_in_force_by_the_feed_and_an_older_one_never() -> None:
+async def test_a_new_version_is_adopted_from_the_feed_and_an_older_one_never() -> None:
     async with world(configuration(5, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         node = running.nodes[0]
         running.store.put("op", "config", configuration(7, MORE))
@@ -29,7 +29,7 @@
         await until(lambda: node.mirror.version == 9)
 
 
-async def test_lost_history_is_read_anew() -> None:
+async def test_the_table_is_read_again_when_the_store_has_lost_its_history() -> None:
     async with world(configuration(1, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         running.store.rows.pop(("op", "config"))
         running.store.put("op", "config", configuration(2, MORE))
@@ -37,7 +37,7 @@
         await until(lambda: running.nodes[0].mirror.version == 2)
 
 
-async def test_outage_keeps_serving_and_its_end_is_noticed() -> None:
+async def test_a_gateway_serves_through_an_outage_and_detects_its_end() -> None:
     async with world(configuration(1, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         running.store.refused.add(loopback_address(1))
         running.store.forget_history()
@@ -61,7 +61,7 @@
     assert len(two.seen) == 5
 
 
-async def test_turned_away_gateway_learns_from_its_peer() -> None:
+async def test_a_gateway_that_the_store_refuses_gets_changes_from_its_peer() -> None:
     one = StandinWorker()
     async with (
         world(configuration(1, ROUTES), {"one": (one, "plain")}) as running,
@@ -74,7 +74,7 @@
         await until(lambda: not second.mirror.workers.records())
 
 
-async def test_gateway_without_configuration_is_not_ready_and_says_503() -> None:
+async def test_a_gateway_without_configuration_is_not_ready_and_answers_503() -> None:
     async with world(configuration(1, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         settings = settings_for(
             loopback_address(3), "z1", running.store.server.address, (), grace=0.4
@@ -94,7 +94,7 @@
                 await alone.stop()
 
 
-async def test_silent_store_is_asked_without_waiting_until_it_is_back() -> None:
+async def test_a_silent_store_is_polled_without_waiting_until_it_returns() -> None:
     async with world(configuration(1, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         store = running.store
         store.silent = True
@@ -109,7 +109,7 @@
 
 
 async def lapse_in_an_outage(running: World, worker: StandinWorker) -> None:
-    """Let an entry go while the store is away, and wait until its return is noticed."""
+    """Remove an entry during an outage of the store, and wait until its return is detected."""
     mirror = running.nodes[0].mirror
     running.store.refused.add(loopback_address(1))
     running.store.forget_history()
@@ -120,7 +120,7 @@
     await until(lambda: mirror.calls["workers:answered"] > answered)
 
 
-async def test_worker_whose_entry_lapsed_in_an_outage_is_served_through_its_return() -> None:
+async def test_a_worker_whose_entry_lapsed_in_an_outage_stays_in_use() -> None:
     one = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         mirror = running.nodes[0].mirror
@@ -133,14 +133,14 @@
         assert mirror.workers.usable("plain")
 
 
-async def test_worker_that_does_not_come_back_after_an_outage_is_gone() -> None:
+async def test_a_worker_that_does_not_register_again_after_an_outage_is_removed() -> None:
     one = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         await lapse_in_an_outage(running, one)
         await until(lambda: not running.nodes[0].mirror.workers.records())
 
 
-async def test_leaving_worker_whose_entry_goes_in_an_outage_is_gone_at_once() -> None:
+async def test_a_leaving_worker_whose_entry_goes_in_an_outage_is_removed_at_once() -> None:
     one = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         mirror = running.nodes[0].mirror
@@ -150,11 +150,11 @@
         assert not mirror.workers.records()
 
 
-async def test_a_list_read_whole_claims_no_changes_that_it_cannot_hold() -> None:
-    """A gateway that had just started told its whole list as all changes since the beginning.
+async def test_a_whole_list_does_not_count_as_all_changes() -> None:
+    """A gateway that had just started reported its whole list as all changes since revision 0.
 
-    Such a list holds no row that is gone. A peer that the store turned away took it for whole,
-    and kept a worker for ever that had gone meanwhile.
+    A whole list does not contain removed rows. A peer that the store refused took it as complete,
+    and permanently kept a worker that was removed meanwhile.
     """
     one, two = StandinWorker(), StandinWorker()
     served = {"one": (one, "plain"), "two": (two, "plain")}
@@ -170,7 +170,9 @@
         assert first.mirror.workers.named(two.worker_id) is not None
 
 
-async def test_a_peer_tells_what_changed_since_a_revision_and_all_where_it_cannot_know() -> None:
+async def test_a_peer_reports_changes_since_a_revision_or_the_whole_list_if_they_are_unknown() -> (
+    None
+):
     one, two = StandinWorker(), StandinWorker()
     served = {"one": (one, "plain"), "two": (two, "plain")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -195,8 +197,8 @@
         return msgspec.msgpack.decode(await response.read(), type=WorkersAnswer)
 
 
-async def test_workers_that_change_one_after_the_other_cost_few_calls_to_the_store() -> None:
-    """Two of three calls of a played day were answers to single changes, 332 for each follower."""
+async def test_consecutive_changes_of_workers_cost_few_calls_to_the_store() -> None:
+    """Two of three calls in a simulated day were for single changes, 332 for each follower."""
     worker = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
         store, mirror = running.store, running.nodes[0].mirror
--- a/tests/platform/test_store_pages.py
+++ b/tests/platform/test_store_pages.py
@@ -1,9 +1,9 @@
-"""What the store says in several pages, or in part, is never taken for a whole table.
+"""Partial answers of the store, and answers in several pages, never count as a whole table.
 
-What a review showed: a list of more than one page was followed from the revision of its last
-page, so that a change to a row of an earlier page, made while the pages were read, never came:
-a worker that had left the list stayed in it. A page that announced more and had no rows ended
-a list as whole, and one without the field of its rows was an empty table.
+Found in a review: a list of more than one page was followed from the revision of its last page.
+A change to a row of an earlier page, made while the pages were read, was missed, so a removed
+worker stayed in the list. A page without rows that announced more pages ended the list as
+complete, and a page without the field of rows was read as an empty table.
 """
 
 import asyncio
@@ -31,11 +31,11 @@
 
 @asynccontextmanager
 async def store_answering(*bodies: dict[str, Any]) -> AsyncIterator[PlatformStore]:
-    """Give a client of a store that answers its calls with these bodies in turn."""
-    turns = list(bodies)
+    """Yield a client of a store that answers its calls with these bodies in order."""
+    remaining = list(bodies)
 
     async def answer(request: web.BaseRequest) -> web.StreamResponse:
-        body = json.dumps(turns.pop(0)).encode()
+        body = json.dumps(remaining.pop(0)).encode()
         return web.Response(body=body, content_type="application/json")
 
     server = Server(answer)
@@ -45,7 +45,7 @@
     await server.stop()
 
 
-async def test_list_of_several_pages_is_followed_from_its_first_one() -> None:
+async def test_a_list_of_several_pages_is_followed_from_the_revision_of_its_first() -> None:
     first = {"rows": [row("a", 3)], "more": True, "ver": 10, "now_ms": 1000}
     second = {"rows": [row("b", 12)], "more": False, "ver": 14, "now_ms": 2000}
     async with store_answering(first, second) as store:
@@ -66,14 +66,14 @@
 
 
 @pytest.mark.parametrize("part", PARTS)
-async def test_part_of_a_list_is_no_list(part: str) -> None:
+async def test_a_partial_list_is_a_failure(part: str) -> None:
     async with store_answering(*PARTS[part]) as store:
         answer = await store.read(StoreTable.WORKERS)
     assert isinstance(answer, StoreFailure)
     assert answer.trouble is StoreTrouble.BROKEN
 
 
-async def test_answer_without_rows_is_no_silence_of_a_table() -> None:
+async def test_a_feed_answer_without_the_field_of_rows_is_a_failure() -> None:
     async with store_answering({"ver": 10, "now_ms": 1000}) as store:
         answer = await store.watch(StoreTable.WORKERS, 5, 0.1)
     assert isinstance(answer, StoreFailure)
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("body", CUTS)
 @pytest.mark.parametrize("reset", [False, True])
-async def test_cut_body_of_a_long_poll_is_no_answer(body: bytes, reset: bool) -> None:
+async def test_a_truncated_body_of_a_long_poll_is_a_failure(body: bytes, reset: bool) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + body)
--- a/tests/platform/test_store_watchers.py
+++ b/tests/platform/test_store_watchers.py
@@ -1,4 +1,4 @@
-"""A few gateways follow the store for all: what the others know, and when those fail."""
+"""A few gateways follow the store for all: how the others get changes, and what if those fail."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -49,7 +49,7 @@
         assert sum(is_follower(node) for node in running.nodes) == LEAST_WATCHERS
 
 
-async def test_others_step_in_when_the_store_turns_all_watchers_away() -> None:
+async def test_other_gateways_follow_the_store_when_it_refuses_all_followers() -> None:
     worker = StandinWorker()
     async with large_fleet(worker) as running:
         running.store.refused.update(address(node) for node in running.nodes if is_follower(node))
--- a/tests/platform/test_worker_entries.py
+++ b/tests/platform/test_worker_entries.py
@@ -1,7 +1,7 @@
-"""What rows of the store name a worker, whoever wrote them.
+"""Which rows of the store name a worker, independent of their writer.
 
-A row that another writer had left with a state of its own was read as a ready worker, and one
-with no address as a worker that could not be reached: each call sent there was lost.
+A row of another writer with an unknown state was read as a ready worker, and a row with no address
+as an unreachable worker: each call sent there was lost.
 """
 
 import base64
@@ -63,7 +63,7 @@
     assert newer.worker_id != older.worker_id
 
 
-def test_fields_that_are_not_known_change_nothing() -> None:
+def test_unknown_fields_are_ignored() -> None:
     assert read({**ENTRY, "models": [{"name": "m"}], "stage": "both"}) == read(ENTRY)
 
 
@@ -77,12 +77,12 @@
 @pytest.mark.parametrize(
     ("field", "value"), [(field, value) for field in OTHER_VALUES for value in OTHER_VALUES[field]]
 )
-def test_a_field_that_makes_no_sense_names_no_worker(field: str, value: object) -> None:
+def test_an_entry_with_an_invalid_field_names_no_worker(field: str, value: object) -> None:
     assert isinstance(read({**ENTRY, field: value}), Unreadable)
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nHost: x", "\x00", "ä"])
-def test_a_key_that_cannot_stand_in_a_header_names_no_worker(key: str) -> None:
+def test_a_key_that_is_invalid_in_a_header_names_no_worker(key: str) -> None:
     assert isinstance(read(ENTRY, key), Unreadable)
 
 
@@ -123,7 +123,7 @@
 
 
 class RowsServer:
-    """A store that gives the pages handed in, one after the other."""
+    """A store that answers with the given pages in order."""
 
     def __init__(self, pages: list[dict[str, Any]]) -> None:
         self.pages = pages
@@ -148,14 +148,14 @@
         await store.server.stop()
 
 
-def sound(key: str) -> dict[str, Any]:
+def valid_row(key: str) -> dict[str, Any]:
     return {"key": key, "value": base64.b64encode(b"{}").decode(), "ver": 2}
 
 
 @pytest.mark.parametrize("watch", [False, True])
 @pytest.mark.parametrize("broken", BROKEN_ROWS)
-async def test_one_broken_row_costs_no_other(broken: object, *, watch: bool) -> None:
-    page = {"ver": 9, "rows": [sound("i-a"), broken, sound("i-z")]}
+async def test_a_malformed_row_does_not_affect_the_others(broken: object, *, watch: bool) -> None:
+    page = {"ver": 9, "rows": [valid_row("i-a"), broken, valid_row("i-z")]}
     found, _ = await rows_of([page], watch=watch)
     assert isinstance(found, StoreRows)
     assert [row.key for row in found.rows] == ["i-a", "i-odd", "i-z"]
@@ -165,10 +165,10 @@
 
 
 @pytest.mark.parametrize("broken", NAMELESS_ROWS)
-async def test_a_row_without_a_key_is_told_and_passed_over(broken: object) -> None:
+async def test_a_row_without_a_key_is_reported_and_skipped(broken: object) -> None:
     pages = [
-        {"ver": 9, "rows": [sound("i-a"), broken], "more": True},
-        {"ver": 9, "rows": [sound("i-z")]},
+        {"ver": 9, "rows": [valid_row("i-a"), broken], "more": True},
+        {"ver": 9, "rows": [valid_row("i-z")]},
     ]
     found, sources = await rows_of(pages)
     assert isinstance(found, StoreRows)
@@ -177,12 +177,12 @@
     assert sources == ["", "i-a\x00"]
 
 
-async def test_pages_that_give_no_key_end() -> None:
+async def test_reading_ends_at_a_page_without_keys() -> None:
     found, _ = await rows_of([{"ver": 9, "rows": [None], "more": True}])
     assert not isinstance(found, StoreRows)
 
 
-def counted(node: Node) -> float:
+def unreadable_entry_count(node: Node) -> float:
     kinds = node.services.metrics.unreadable_documents
     return kinds.labels("entry")._value.get()
 
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize(
     "foreign", [{**ENTRY, "state": "frob"}, {"service": "plain"}, b"\xff\xfe\x00", b"[]"]
 )
-async def test_a_foreign_entry_takes_its_worker_out_and_the_others_hold(foreign: object) -> None:
+async def test_a_foreign_entry_removes_its_worker_and_no_other(foreign: object) -> None:
     one, two = StandinWorker(), StandinWorker()
     served = {"one": (one, "plain"), "two": (two, "plain")}
     async with (
@@ -206,15 +206,15 @@
             assert (await running.call("/safe/x", method="GET")).status == 200
         unreadable = running.nodes[0].dump().unreadable_entries
         assert set(unreadable) == {one.worker_id, "i-unheard"}
-        assert counted(running.nodes[0]) == 2
+        assert unreadable_entry_count(running.nodes[0]) == 2
         running.store.put("servers", one.worker_id, one.entry("plain"))
         await until(lambda: all(len(node.mirror.workers.usable("plain")) == 2 for node in nodes))
         assert set(running.nodes[0].dump().unreadable_entries) == {"i-unheard"}
     assert not one.seen
 
 
-async def test_a_foreign_entry_after_an_outage_is_not_held_back() -> None:
-    """A row that is there has not lapsed, so its worker isn't served through it."""
+async def test_a_removal_by_a_foreign_entry_after_an_outage_is_not_deferred() -> None:
+    """An existing row has not lapsed, so its worker is removed at once."""
     one, two = StandinWorker(), StandinWorker()
     served = {"one": (one, "plain"), "two": (two, "plain")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -229,7 +229,7 @@
         assert [worker.name for worker in mirror.workers.records()] == [two.worker_id]
 
 
-async def test_a_service_that_nobody_names_is_harmless() -> None:
+async def test_a_worker_of_a_service_without_a_route_is_harmless() -> None:
     one, two = StandinWorker(), StandinWorker()
     served = {"one": (one, "plain"), "two": (two, "unnamed")}
     async with world(configuration(1, ROUTES), served) as running:
--- a/tests/scheduling/test_entry_reader.py
+++ b/tests/scheduling/test_entry_reader.py
@@ -1,4 +1,4 @@
-"""An entry that lacks its start, among those that tell one and among those that do not."""
+"""Entries without a start time, among entries that have one and among entries that do not."""
 
 import msgspec
 import pytest
@@ -9,8 +9,8 @@
 from corkcrank.platform.documents import PlatformDocumentCodec
 
 
-def row(name: str, revision: int, **told: object) -> StoreRow:
-    return StoreRow(name, msgspec.json.encode(worker_entry("s", "10.0.0.1:80", **told)), revision)
+def row(name: str, revision: int, **fields: object) -> StoreRow:
+    return StoreRow(name, msgspec.json.encode(worker_entry("s", "10.0.0.1:80", **fields)), revision)
 
 
 def named(reader: EntryReader, since: int, *rows: StoreRow) -> list[str]:
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_an_entry_without_a_start_names_no_worker_where_others_tell_theirs(first: bool) -> None:
+def test_an_entry_without_a_start_names_no_worker_where_others_have_one(first: bool) -> None:
     workers = [row("b", 2, born=17), row("c", 3, born=18)]
     rows = [row("a", 1), *workers] if first else [*workers, row("a", 4)]
     reader = EntryReader(PlatformDocumentCodec())
@@ -27,14 +27,14 @@
     assert list(reader.unreadable) == ["a"]
 
 
-def test_entries_without_starts_hold_where_another_writer_tells_one() -> None:
+def test_entries_without_starts_are_valid_where_only_one_entry_has_a_start() -> None:
     reader = EntryReader(PlatformDocumentCodec())
     rows = [row("a", 1), row("b", 2), row("x", 3, born=17), row("c", 4)]
     assert named(reader, 0, *rows) == ["a", "b", "x", "c"]
     assert named(reader, 4, row("a", 5, state="draining")) == ["a"]
 
 
-def test_entries_that_are_gone_count_no_more() -> None:
+def test_removed_entries_do_not_count() -> None:
     reader = EntryReader(PlatformDocumentCodec())
     assert named(reader, 0, row("a", 1, born=17), row("x", 2, born=18)) == ["a", "x"]
     assert named(reader, 2, row("b", 3)) == []
--- a/tests/scheduling/test_held_removals.py
+++ b/tests/scheduling/test_held_removals.py
@@ -1,11 +1,10 @@
-"""A worker whose entry went in an outage is gone in the end, whatever peers tell meanwhile.
+"""A deferred removal of a worker is applied even if peers report later changes meanwhile.
 
-What was seen: after a pause and an outage one gateway of four went on listing a worker that had
-crashed. What happened: its removal was held back, since the entry might have lapsed in the outage;
-meanwhile a peer told later changes, and the gateway counted its list as whole up to them; the
-removal was older than that when it was due, and was passed over as old news.
-Evidence: the log says that the removal was held back and never that the worker has gone, in two
-of four soaks of one seed, and this test.
+After a pause and an outage of the store, one gateway of four kept a crashed worker in its list. The
+gateway had deferred the removal, since the entry might have lapsed in the outage. Meanwhile a peer
+reported later changes, and the gateway counted its list as complete up to them. When the removal
+was confirmed, it was older than the list and was ignored as outdated. Seen in two of four soak runs
+of one seed: the log shows the deferral and never the removal.
 """
 
 import random
@@ -32,7 +31,7 @@
     return StoreRow(name, msgspec.json.encode(entry), revision)
 
 
-def made(monkeypatch: pytest.MonkeyPatch) -> tuple[StoreMirror, SimpleNamespace]:
+def create_mirror(monkeypatch: pytest.MonkeyPatch) -> tuple[StoreMirror, SimpleNamespace]:
     clock = SimpleNamespace(now=100.0)
     monkeypatch.setattr(store_mirror, "clock", SimpleNamespace(now=lambda: clock.now))
     election = StoreFollowerElection(Fleet("0", "a", "10.0.0.0:1"), 2.0)
@@ -43,46 +42,47 @@
     return mirror, clock
 
 
-@pytest.mark.parametrize("told_at", [36, 43])
-def test_a_removal_that_was_held_back_is_taken_although_peers_told_later_changes(
-    monkeypatch: pytest.MonkeyPatch, told_at: int
+@pytest.mark.parametrize("reported_at", [36, 43])
+def test_a_deferred_removal_is_applied_although_peers_reported_later_changes(
+    monkeypatch: pytest.MonkeyPatch, reported_at: int
 ) -> None:
-    mirror, clock = made(monkeypatch)
+    mirror, clock = create_mirror(monkeypatch)
     mirror._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 20), whole=True)
     mirror._lapsed.store_returned(clock.now)
     mirror._apply(StoreTable.WORKERS, StoreRows((row("b", 12),), 35), whole=True)
     assert [record.name for record in mirror.workers.records()] == ["a", "b"]
-    another = WorkerRecord("c", "s", "10.0.0.2:80", "a", revision=told_at, born=18)
-    news = WorkerChangeBatch(34, told_at, (WorkerChange("c", told_at, another),))
-    assert mirror.take_changes(news, "peer")
+    another = WorkerRecord("c", "s", "10.0.0.2:80", "a", revision=reported_at, born=18)
+    update = WorkerChangeBatch(34, reported_at, (WorkerChange("c", reported_at, another),))
+    assert mirror.take_changes(update, "peer")
     clock.now += RETURN_SECONDS
     mirror._take_lapsed()
     assert [record.name for record in mirror.workers.records()] == ["b", "c"]
-    # The peer's news stay known: nothing of it is taken twice.
-    assert not mirror.take_changes(news, "peer")
+    # The peer's update stays recorded: none of its changes is applied twice.
+    assert not mirror.take_changes(update, "peer")
 
 
-def test_a_list_that_keeps_a_removed_worker_does_not_claim_the_removal(
+def test_a_list_with_a_deferred_removal_is_not_complete_up_to_the_removal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A second gateway kept a worker for good that it had held back and its peer too.
+    """Two gateways had deferred the removal of the same worker, and one kept the worker forever.
 
-    The peer found the removal by a whole list, as of 53, where the row had gone with revision 52.
-    Holding it back, it told its list with that worker as whole up to 52; the second gateway took
-    it, and passed its own removal over, revision 52, as old news. Evidence: both logs of soak seed
-    36013, "list taken" from the peer between "held back" and the moment that it was due.
+    The peer found the removal in a whole list at revision 53; the row was removed at revision 52.
+    While it deferred the removal, the peer reported its list, which still had the worker, as
+    complete up to 52. The second gateway adopted that list and then ignored its own deferred
+    removal, revision 52, as outdated. Seen in both logs of soak seed 36013: "list taken" from the
+    peer stands between "held back" and the confirmation of the removal.
     """
-    peer, clock = made(monkeypatch)
+    peer, clock = create_mirror(monkeypatch)
     peer._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 50), whole=True)
     peer._lapsed.store_returned(clock.now)
     peer._apply(StoreTable.WORKERS, StoreRows((row("b", 12),), 53), whole=True)
 
-    gateway, own_clock = made(monkeypatch)
+    gateway, gateway_clock = create_mirror(monkeypatch)
     gateway._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 51), whole=True)
-    gateway._lapsed.store_returned(own_clock.now)
+    gateway._lapsed.store_returned(gateway_clock.now)
     gateway._apply(StoreTable.WORKERS, StoreRows((StoreRow("a", None, 52),), 52), whole=False)
     gateway.take_workers(peer.workers.records(), peer.workers.revision, "peer")
 
-    own_clock.now += RETURN_SECONDS
+    gateway_clock.now += RETURN_SECONDS
     gateway._take_lapsed()
     assert [record.name for record in gateway.workers.records()] == ["b"]
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -1,4 +1,4 @@
-"""Which gateways follow the store, and what the others know when those fail."""
+"""Election of the gateways that follow the store, and what the others know if those fail."""
 
 import pytest
 from hypothesis import given
@@ -26,7 +26,7 @@
 BOUND = 2.0
 
 
-def beat(name: str, zone: str, age: float, phase: Phase = Phase.SERVING) -> Heartbeat:
+def heartbeat(name: str, zone: str, age: float, phase: Phase = Phase.SERVING) -> Heartbeat:
     contact = ReportedStoreContact(store_time=100.0 - age, age=age)
     return Heartbeat(
         name,
@@ -46,7 +46,7 @@
         fleet = Fleet(str(number), zone, f"10.0.0.{number}:1")
         fleet.own_phase = Phase.SERVING
         for other, other_zone in enumerate(zones):
-            fleet.hear(beat(str(other), other_zone, age), 10.0)
+            fleet.hear(heartbeat(str(other), other_zone, age), 10.0)
         found.append(StoreFollowerElection(fleet, BOUND))
     return found
 
@@ -62,38 +62,38 @@
     assert len(following) == min(len(zones), max(LEAST_WATCHERS, len(set(zones))))
 
 
-def test_everybody_steps_in_before_the_bound_when_nobody_has_an_answer() -> None:
+def test_all_gateways_follow_the_store_before_the_bound_when_none_has_an_answer() -> None:
     found = elections(["a"] * 20, age=BOUND)
     assert all(election.watches(StoreTable.WORKERS, 0.0, 10.1) for election in found)
 
 
-def test_a_gateway_that_hears_of_no_answer_follows_the_store() -> None:
+def test_a_gateway_without_a_reported_answer_follows_the_store() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.own_phase = Phase.SERVING
     assert StoreFollowerElection(fleet, BOUND).watches(StoreTable.CONFIGURATION, 0.0, 10.0)
 
 
-def test_the_long_poll_is_shorter_than_the_doubt_and_the_doubt_than_the_bound() -> None:
+def test_the_long_poll_is_shorter_than_the_stale_time_and_that_than_the_bound() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.own_phase = Phase.STARTING
     election = StoreFollowerElection(fleet, BOUND)
-    fleet.hear(beat("1", "a", 0.0), 10.0)
-    doubted_after = next(
+    fleet.hear(heartbeat("1", "a", 0.0), 10.0)
+    stale_after = next(
         after / 100
         for after in range(500)
         if election.watches(StoreTable.WORKERS, 0.0, 10.0 + after / 100)
     )
-    assert election.watch_seconds < doubted_after < BOUND
+    assert election.watch_seconds < stale_after < BOUND
 
 
 @pytest.mark.parametrize("members", [6, 74, 195, 350])
-def test_an_outage_costs_calls_that_hardly_grow_with_the_fleet(members: int) -> None:
-    """In an outage of a few seconds a fleet of 195 made 11,709 calls, most of its day's."""
+def test_calls_in_an_outage_hardly_grow_with_the_fleet(members: int) -> None:
+    """In an outage of a few seconds a fleet of 195 made 11,709 calls, most calls of its day."""
     zones = [ZONES[number % len(ZONES)] for number in range(members)]
     found = elections(zones, age=9.0)
     followers = [election for election in found if election.watches(StoreTable.WORKERS, 10.0, 10.1)]
     pauses = [election.retry_seconds(4, 10.1) for election in found]
-    # 0.6 of the bound is the time after which batch is old: nobody waits longer to ask.
+    # An answer is stale after 0.6 of the bound: no gateway waits longer before it asks.
     assert max(pauses) <= 0.6 * BOUND or members == 6
     calls = sum(1 / pause for pause in pauses)
     allowed = max(STAND_IN_CALLS_PER_SECOND, members / (0.6 * BOUND))
@@ -101,7 +101,7 @@
     assert calls <= 0.75 * members / RETRY_SECONDS[1] or members == 6
 
 
-def test_a_small_fleet_and_a_first_failure_are_tried_again_soon() -> None:
+def test_a_small_fleet_retries_soon() -> None:
     for election in elections(["a"] * 6, age=9.0):
         assert [election.retry_seconds(failures, 10.1) for failures in (1, 2, 9)] == [0.2, 0.4, 0.8]
 
@@ -111,14 +111,14 @@
 
 
 @given(data=st.data())
-def test_news_in_any_order_and_lists_end_in_the_same_state(data: st.DataObject) -> None:
+def test_changes_in_any_order_and_lists_converge_to_the_same_state(data: st.DataObject) -> None:
     truth: dict[str, WorkerRecord] = {}
     history: list[WorkerChange] = []
     states = [dict(truth)]
     for revision in range(1, data.draw(st.integers(1, 25)) + 1):
         worker_id = data.draw(st.sampled_from("abcd"))
-        gone = data.draw(st.booleans()) and worker_id in truth
-        changed = None if gone else record(worker_id, revision)
+        removed = data.draw(st.booleans()) and worker_id in truth
+        changed = None if removed else record(worker_id, revision)
         if changed is None:
             del truth[worker_id]
         else:
@@ -126,8 +126,8 @@
         history.append(WorkerChange(worker_id, revision, changed))
         states.append(dict(truth))
     workers = WorkerList()
-    told = data.draw(st.lists(st.sampled_from(history), max_size=40))
-    for change in told:
+    reported = data.draw(st.lists(st.sampled_from(history), max_size=40))
+    for change in reported:
         workers.apply_row(change.name, change.record, change.revision)
         if data.draw(st.integers(0, 5)) == 0:
             at = data.draw(st.integers(workers.revision, len(history)))
@@ -137,7 +137,7 @@
     assert {item.worker_id: item for item in workers.records()} == truth
 
 
-def test_a_leaving_worker_is_not_taken_back_by_an_older_list() -> None:
+def test_an_older_list_does_not_restore_a_leaving_worker() -> None:
     workers = WorkerList()
     workers.replace_all([record("w", 3)], 5)
     assert workers.apply_row("w", record("w", 9, leaving=True), 9)
@@ -148,21 +148,21 @@
     assert workers.records() == ()
 
 
-def test_the_newest_changes_are_told_whole_as_far_as_they_fit() -> None:
+def test_the_newest_changes_that_fit_are_reported_without_a_gap() -> None:
     recent = RecentWorkerChanges()
     for number in range(MOST_TOLD + 5):
         change = WorkerChange(str(number), number + 1, None)
         recent.add(WorkerChangeBatch(number, number + 1, (change,)), 1.0)
-    told = recent.current(1.1)
-    assert told is not None
-    assert len(told.changes) == MOST_TOLD
-    assert (told.since, told.revision) == (5, MOST_TOLD + 5)
+    reported = recent.current(1.1)
+    assert reported is not None
+    assert len(reported.changes) == MOST_TOLD
+    assert (reported.since, reported.revision) == (5, MOST_TOLD + 5)
 
 
-def test_news_does_not_claim_changes_that_came_by_a_whole_list() -> None:
+def test_a_batch_does_not_cover_changes_received_in_a_whole_list() -> None:
     recent = RecentWorkerChanges()
     recent.add(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
-    # Between the two, the list was taken whole as of revision 9.
+    # Between the two batches, the gateway adopted a whole list of revision 9.
     recent.add(WorkerChangeBatch(9, 12, (WorkerChange("c", 12, None),)), 0.1)
     batch = recent.current(0.2)
     assert batch is not None
