--- a/src/corkcrank/node/stages/__init__.py
+++ b/src/corkcrank/node/stages/__init__.py
@@ -1,6 +1,6 @@
-"""Stages of calls: the owner's queues and batches, and the caller's side that asks owners.
+"""The stages of calls: queues and batches at a pool's owner, and requests of callers to owners.
 
 State: a queue for each stage worker that this node owns, the batches in flight, and the
-results that workers hold for calls. Called by streams, engines and membership; it may call
-peers and workers.
+results that workers store for calls. Used by streams, engines and membership; uses peers and
+workers.
 """
--- a/src/corkcrank/node/stages/downstream_backlog.py
+++ b/src/corkcrank/node/stages/downstream_backlog.py
@@ -1,4 +1,4 @@
-"""What the calls at work at an owner will ask for next, and how fast calls begin."""
+"""Counts the pieces that running calls will request next, and the rate at which calls begin."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,20 +10,20 @@
 
 
 class DownstreamBacklog(StageBacklog):
-    """Counts what follows the pieces that are made here.
+    """The later pieces of calls whose pieces run at this owner.
 
-    Owners tell it, not the gateways whose calls they are: the few owners are heard oftener,
-    and a call is decided by counts that are younger.
+    Owners report these counts, not the gateways that received the calls: the few owners send
+    heartbeats more often, so a call is admitted or refused by more recent counts.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.use = OwnerUse()
-        """When pieces were sent here: others decide by these queues."""
+        """When pieces were last sent here; other gateways then rely on reports of these queues."""
 
     @contextmanager
     def counted(self, work: StageWork, now: float) -> Iterator[None]:
-        """Count what follows a piece of work until it has ended."""
+        """Count the pieces that follow the given work until it has ended."""
         rank = work.urgency.rank
         later_rank = begun_rank(rank)
         self.use.note(now)
--- a/src/corkcrank/node/stages/held_results.py
+++ b/src/corkcrank/node/stages/held_results.py
@@ -1,4 +1,4 @@
-"""The results that one call holds, each at the worker that made it."""
+"""Records which worker stores each result of a call."""
 
 from collections.abc import Iterable
 
@@ -7,27 +7,27 @@
 
 
 class HeldResults:
-    """Results by handle; what is freed, here or by an owner, is held no more."""
+    """Stored results by handle. This gateway or an owner frees a result, which removes it."""
 
     def __init__(self) -> None:
         self._holders: dict[str, WorkerRecord] = {}
 
     def add(self, handle: str, worker: WorkerRecord) -> None:
-        """Hold a result that a worker made."""
+        """Record a result that a worker stores."""
         self._holders[handle] = worker
 
     def take(self, handles: Iterable[str]) -> list[tuple[str, WorkerRecord]]:
-        """Hold some results no more; return those that were held, with their workers."""
+        """Remove results; return those that were recorded, with their workers."""
         return [
             (handle, self._holders.pop(handle)) for handle in handles if handle in self._holders
         ]
 
     def take_all(self) -> list[tuple[str, WorkerRecord]]:
-        """Hold nothing any more; return what was held."""
+        """Remove all results and return them with their workers."""
         return self.take(list(self._holders))
 
     def by_zone(self, handles: Iterable[str]) -> dict[str, int]:
-        """Return how many of some results lie in each zone."""
+        """Return how many of the given results are stored in each zone."""
         counts: dict[str, int] = {}
         for handle in handles:
             holder = self._holders.get(handle)
@@ -36,10 +36,10 @@
         return counts
 
     def by_worker(self, handles: Iterable[str]) -> tuple[FreeResults, ...]:
-        """Return some results as messages that give them up, one a worker."""
+        """Return messages that free the given results, one for each worker."""
         found: dict[str, list[str]] = {}
         for handle in handles:
             holder = self._holders.get(handle)
             if holder is not None:
                 found.setdefault(holder.worker_id, []).append(handle)
-        return tuple(FreeResults(worker_id, tuple(own)) for worker_id, own in found.items())
+        return tuple(FreeResults(worker_id, tuple(stored)) for worker_id, stored in found.items())
--- a/src/corkcrank/node/stages/input_releases.py
+++ b/src/corkcrank/node/stages/input_releases.py
@@ -1,8 +1,8 @@
-"""Frees the results that waiting pieces read, once a worker has read them.
+"""Frees the input results of pieces as soon as a worker has read them.
 
-A worker pulls the inputs of its pieces when their turn comes, before it begins to work. Until the
-pieces are made, some three tenths of a second later, nobody needs the inputs any more: their
-workers' room is what bounds a stage with large results in a burst.
+A worker fetches the inputs of its pieces when it is ready to run them, before the work begins.
+The work then takes some three tenths of a second, in which the inputs are no longer needed. Freeing
+them early matters because result memory limits a stage with large results in a burst.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Inputs:
-    """What the pieces of one call's stage read, and how many of them no worker has begun."""
+    """The input results of one call's stage, and the number of its pieces not yet begun."""
 
     service: str
     results: tuple[FreeResults, ...]
@@ -25,14 +25,14 @@
     freed: bool = False
 
     def keep(self) -> None:
-        """Free nothing for the moment."""
+        """Cancel the scheduled release of these inputs."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
 
 class InputReleases:
-    """The inputs of pieces that wait here or are at work; ``free`` gives results up."""
+    """The inputs of queued and running pieces; ``free`` is called with results to free."""
 
     def __init__(self) -> None:
         self.free: Callable[[FreeResults], None] = lambda results: None
@@ -40,7 +40,7 @@
         self._delays: dict[str, FetchDelay] = {}
 
     def add(self, work: StageWork, stage_items: Sequence[StageItem]) -> None:
-        """Take the pieces of a call's stage, which may be the last to read some results."""
+        """Track the pieces of a call's stage if they are the last readers of some results."""
         if not work.last_reads:
             return
         inputs = _Inputs(work.service, work.last_reads, len(stage_items))
@@ -48,7 +48,7 @@
             self._inputs[id(stage_item)] = inputs
 
     def begun(self, stage_items: Sequence[StageItem]) -> None:
-        """Take that pieces were sent to a worker that begins them at once."""
+        """Record that pieces were sent to a worker that begins them at once."""
         for inputs in self._of(stage_items):
             inputs.waiting -= 1
             if inputs.waiting == 0 and not inputs.freed:
@@ -57,15 +57,18 @@
                 inputs.timer = loop.call_later(delay.seconds, self._free, inputs)
 
     def put_back(self, stage_items: Sequence[StageItem]) -> None:
-        """Take that a worker turned pieces away: they will read their inputs again."""
+        """Record that a worker rejected pieces, which will therefore read their inputs again."""
         for inputs in self._of(stage_items):
             inputs.waiting += 1
             inputs.keep()
 
     def ended(self, stage_items: Sequence[StageItem], *, inputs_missed: bool) -> bool:
-        """Forget pieces that were made, refused or given up; return whether inputs were freed.
+        """Remove pieces that were completed, refused or cancelled.
 
-        ``inputs_missed`` says that a worker found some gone: it reads them later than was thought.
+        Returns whether their inputs were freed.
+
+        ``inputs_missed`` says that a worker did not find some inputs: it reads them later than
+        the estimated delay.
         """
         found = self._of(stage_items)
         for stage_item in stage_items:
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -1,4 +1,4 @@
-"""The queues of stage workers at the gateway that owns them."""
+"""The queues of stage workers, held by the gateway that owns their pool."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -15,21 +15,21 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 AVOID_SECONDS = 1.5
-"""Time for which a worker whose call failed is avoided."""
+"""Time for which a worker is avoided after a failed call."""
 
 FULL_BLOCK_SECONDS = 0.08
-"""Pause after a worker said that it is full: another owner fills it too."""
+"""Pause after a worker rejected a call as full, because another owner sends to it too."""
 
 LONGEST_BLOCK_SECONDS = 1.0
-"""Time after which a limited worker's queue is looked at again: the limit may have ended."""
+"""Time after which the queue of a rate-limited worker is checked again: the limit may be lifted."""
 
 LEAST_TIMER_SECONDS = 0.005
-"""Least time until a queue is looked at again."""
+"""Minimum time until a queue is checked again."""
 
 
 @dataclass(slots=True)
 class OwnedQueue:
-    """A worker's queue at its owner, with what the owner knows of the worker."""
+    """The queue of a worker at its owner, with the state of result memory and known handles."""
 
     worker: WorkerRecord
     queue: StageQueue
@@ -39,7 +39,7 @@
 
 
 class OwnedQueues:
-    """Every queue here, by worker; ``on_new`` is called with each that is made."""
+    """The queues of this gateway by worker; ``on_new`` is called with each new queue."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._queues: dict[str, OwnedQueue] = {}
 
     def __iter__(self) -> Iterator[OwnedQueue]:
-        """Go through the queues; some may be dropped meanwhile."""
+        """Iterate over a copy, so that queues may be removed during the iteration."""
         return iter(list(self._queues.values()))
 
     def get(self, worker_id: str) -> OwnedQueue | None:
@@ -61,7 +61,7 @@
         return self._queues.get(worker_id)
 
     def of(self, worker: WorkerRecord, profile: ServiceProfile) -> OwnedQueue:
-        """Return the queue of a worker, new if needed, with the capacity now stated."""
+        """Return the queue of a worker, created if needed, with the currently stated capacity."""
         assert profile.stage is not None
         entry = self._queues.get(worker.worker_id)
         if entry is None:
@@ -75,7 +75,7 @@
         return entry
 
     def drop(self, entry: OwnedQueue) -> None:
-        """Forget a queue whose worker is gone."""
+        """Remove the queue of a worker that is no longer listed."""
         if entry.timer is not None:
             entry.timer.cancel()
         del self._queues[entry.worker.worker_id]
@@ -92,18 +92,18 @@
     def first_free(
         self, worker: WorkerRecord, profile: ServiceProfile, work: StageWork, now: float
     ) -> tuple[OwnedQueue, QueueForecast]:
-        """Return the queue of the worker's pool where pieces would end first, and when.
+        """Return the queue of the worker's pool with the earliest forecast end, and the forecast.
 
-        Whoever sends pieces knows the queues as they were told, a second ago in a large fleet;
-        their owner knows them as they are. Answers bursts there, in which the most urgent route
-        waits for workers that have filled up meanwhile (test_fleet_play.py).
+        The sender of pieces knows the queues only from reports, a second old in a large fleet; the
+        owner knows their current state. This prevents that in bursts the most urgent route waits
+        for workers that have filled up since the report (test_fleet_play.py).
         """
         urgency = work.urgency.on_clock(now)
         choices = []
         for other in pool_of(self._mirror.workers, worker).workers:
             statistics = self._worker_statistics.get_or_create(other.worker_id)
-            unsound = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
-            if other is not worker and (statistics.is_unavailable(now) or unsound):
+            unhealthy = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
+            if other is not worker and (statistics.is_unavailable(now) or unhealthy):
                 continue
             entry = self.of(other, profile)
             expected = entry.queue.forecast(now, urgency, len(work.pieces), work.result_bytes)
@@ -112,7 +112,7 @@
 
 
 def hold_back(entry: OwnedQueue, limits: WorkerLimits, now: float) -> None:
-    """Block the queue of a limited worker until it takes one more call, which forecasts see."""
+    """Block the queue of a rate-limited worker until its next call; forecasts include the block."""
     entry.queue.min_call_interval = limits.interval(entry.worker, now)
     if entry.queue.min_call_interval:
         entry.queue.block_calls(
@@ -121,7 +121,7 @@
 
 
 def next_call(entry: OwnedQueue, limits: WorkerLimits, now: float) -> StageCall | None:
-    """Start the next call of a queue, or return ``None`` if its worker takes none now."""
+    """Start the next call of a queue, or return ``None`` if its worker may be sent none now."""
     hold_back(entry, limits, now)
     call = entry.queue.start_next_call(now)
     if call is not None:
--- a/src/corkcrank/node/stages/recent_answers.py
+++ b/src/corkcrank/node/stages/recent_answers.py
@@ -1,6 +1,6 @@
-"""Answers to other gateways' questions that their askers may still take back.
+"""Answers recently sent to other gateways, which may still withdraw their question.
 
-Pure: the time is handed in.
+Pure: callers pass the time.
 """
 
 from collections import OrderedDict
@@ -9,22 +9,22 @@
 from corkcrank.node.peers.peer_protocol import StageAnswer
 
 KEPT_SECONDS = PEER_SILENCE_SECONDS + 2 * PEER_CONNECT_SECONDS
-"""Time for which an answer may be taken back: the message that does so needs a new connection,
-and is sent once more, on another one, after silence."""
+"""Time for which an answer can be withdrawn: the message that withdraws it needs a new connection
+and, if no reply arrives, is sent once more on another one."""
 
 MOST_KEPT = 1024
-"""Answers kept at most, the oldest forgotten first: 0.7 MB with two results each (allocations
-counted). Room of one that is forgotten is free after its time, as that of any lost answer."""
+"""The oldest answers are removed first. 0.7 MB with two results each, by counted allocations. The
+worker frees the results of a removed answer on expiry, as those of any answer lost in transit."""
 
 
 class RecentAnswers:
-    """What was answered or taken back in the last second, by the number of the question."""
+    """Questions answered or withdrawn within the last second, by question number."""
 
     def __init__(self) -> None:
         self._entries: OrderedDict[int, tuple[float, StageAnswer | None]] = OrderedDict()
 
     def note_answered(self, question: int, answer: StageAnswer, now: float) -> bool:
-        """Keep an answer that goes out; return whether its asker still wants it."""
+        """Record an answer that is about to be sent; return whether its asker still wants it."""
         self._forget(now)
         _, taken_back = self._entries.pop(question, (now, answer))
         if taken_back is None:
@@ -33,7 +33,7 @@
         return True
 
     def take_back(self, question: int, now: float) -> StageAnswer | None:
-        """Return the answer that an asker did not read, if it went out already."""
+        """Withdraw a question; return its answer if that was already sent."""
         self._forget(now)
         _, answer = self._entries.pop(question, (now, None))
         if answer is None:
--- a/src/corkcrank/node/stages/stage_dispatch.py
+++ b/src/corkcrank/node/stages/stage_dispatch.py
@@ -1,4 +1,4 @@
-"""The caller's side of stage workers: forecasts, and pieces sent to their owner."""
+"""Forecasts the load of stage workers and sends pieces of local calls to their owners."""
 
 import functools
 import random
@@ -22,13 +22,13 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 OWN_PIECES_SECONDS = 0.6
-"""Time for which pieces sent to a peer are added to what it told last."""
+"""Time for which pieces sent to a peer are added to the load in its last report."""
 
 TURNOVER_CALLS = 2.5
-"""Usual time for which a result holds room, in full calls, where an owner is a peer."""
+"""Usual time for which a result occupies memory, in full calls, if the owner is a peer."""
 
 LEAST_RATE_LEFT = 0.2
-"""Part of a service that is assumed left for a rank, however much goes before it."""
+"""Minimum share of a service's rate assumed available to a rank despite more urgent ranks."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 class StageDispatch:
-    """Knows the load of every stage worker, and has pieces made by their owners."""
+    """Chooses stage workers by forecast load, and has pieces run by their owners."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         stage_owner.inputs.free = self._free_read
 
     def worker(self, worker_id: str) -> WorkerRecord | None:
-        """Return a worker that is listed."""
+        """Return a listed worker by its id, or ``None``."""
         return self._mirror.workers.get(worker_id)
 
     def capacity(self, service: str) -> StageCapacity | None:
@@ -69,14 +69,14 @@
         return profile.stage if profile is not None else None
 
     def owner_of(self, worker: WorkerRecord, now: float) -> str:
-        """Return the member that keeps the queues of a worker's pool."""
+        """Return the name of the member that owns the queues of a worker's pool."""
         pool = pool_of(self._mirror.workers, worker)
         return self._fleet.zone_owner(pool.zone, pool.key, now)
 
     def forecast(
         self, worker: WorkerRecord, urgency: Urgency, pieces: int, size: float
     ) -> QueueForecast:
-        """Return when pieces would start and end at a worker, by the newest load known."""
+        """Return when pieces would start and end at a worker, by its most recent known load."""
         now = clock.now()
         queue = self._stage_owner.queue(worker.worker_id)
         owner = self.owner_of(worker, now)
@@ -116,7 +116,7 @@
     def choose(
         self, placing: StagePlacing, excluded: Collection[str]
     ) -> tuple[WorkerRecord, QueueForecast] | None:
-        """Return the best worker for some pieces, with its forecast."""
+        """Return the best worker for the pieces of a placing, with its forecast."""
         return choose_stage_worker(
             self._mirror.workers.usable(placing.service),
             lambda worker: self.forecast(worker, placing.urgency, placing.pieces, placing.size),
@@ -132,8 +132,8 @@
     ) -> float:
         """Return the shortest wait of a service's workers in a zone, in seconds.
 
-        Without a worker there, the work would have to leave the zone: that counts as the
-        time of a full call.
+        Without a worker there, the work would go to another zone, which counts as the time of a
+        full call.
         """
         capacity = self.capacity(service)
         waits = [
@@ -143,10 +143,10 @@
         return min(waits, default=capacity.full_call_seconds if capacity is not None else 0.0)
 
     def expected(self, placing: StagePlacing) -> StageForecast | None:
-        """Return when pieces of a call would start and end that is not yet at this stage.
+        """Return when pieces of a call that has not reached this stage yet would start and end.
 
-        The wait counts the pieces that admitted calls will still ask for, and grows with
-        what more urgent ranks ask for meanwhile: they go first.
+        The wait includes the pieces that admitted calls will request later, and grows with the
+        requests of more urgent ranks, which are served first.
         """
         choice = self.choose(placing, ())
         if choice is None:
@@ -154,9 +154,11 @@
         now = clock.now()
         service, rank = placing.service, placing.urgency.rank
         rate = self._service_rate(service)
-        own = self._stage_owner.backlog
-        coming = own.pieces_up_to(service, rank) + self._fleet.reported_backlog(service, rank, now)
-        before = own.rate_before(service, rank, now)
+        local = self._stage_owner.backlog
+        coming = local.pieces_up_to(service, rank) + self._fleet.reported_backlog(
+            service, rank, now
+        )
+        before = local.rate_before(service, rank, now)
         before += self._fleet.reported_rate_before(service, rank, now)
         left = max(LEAST_RATE_LEFT, 1.0 - before / rate) if rate else 1.0
         forecast = choice[1]
@@ -165,7 +167,7 @@
         return StageForecast(start, end, forecast.start)
 
     def _service_rate(self, service: str) -> float:
-        """Return the pieces a second that a service's workers make with full batches."""
+        """Return the pieces per second that a service's workers complete with full batches."""
         capacity = self.capacity(service)
         workers = len(self._mirror.workers.usable(service))
         if capacity is None or not workers:
@@ -173,7 +175,7 @@
         return workers * capacity.pieces_a_second
 
     async def make(self, worker: WorkerRecord, work: StageWork) -> StageAnswer:
-        """Have pieces made by the owner of a worker."""
+        """Have the owner of a worker run pieces."""
         owner = self.owner_of(worker, clock.now())
         member = self._fleet.member(owner)
         if owner == self._fleet.own_name or member is None:
@@ -183,7 +185,7 @@
         return await self.owners.make(owner, member.heartbeat.address, work)
 
     def free(self, results: Iterable[tuple[str, WorkerRecord]]) -> None:
-        """Give up results, each with the worker that holds it."""
+        """Free results, each given with the worker that stores it."""
         by_worker: dict[str, tuple[WorkerRecord, list[str]]] = {}
         for handle, worker in results:
             by_worker.setdefault(worker.worker_id, (worker, []))[1].append(handle)
@@ -202,13 +204,13 @@
             )
 
     def _free_read(self, read: FreeResults) -> None:
-        """Free results that a stage worker has read."""
+        """Free results that a stage worker has read as inputs."""
         worker = self.worker(read.worker_id)
         if worker is not None:
             self.free([(handle, worker) for handle in read.handles])
 
     def _give_back(self, answer: StageAnswer) -> None:
-        """Free the results of an answer that nobody waits for."""
+        """Free the results of an answer whose question was cancelled."""
         made = [(result.handle, self.worker(result.worker_id)) for result in answer.results]
         self.free([(handle, maker) for handle, maker in made if handle and maker is not None])
 
--- a/src/corkcrank/node/stages/stage_failures.py
+++ b/src/corkcrank/node/stages/stage_failures.py
@@ -1,10 +1,10 @@
-"""Why the stages of a call could not be finished."""
+"""Errors that say why the stages of a call could not be completed."""
 
 
 class StageFailedError(Exception):
-    """The stages of a call cannot be finished.
+    """The stages of a call could not be completed.
 
-    ``started`` says that work was begun; ``retry_after`` is the forecast wait in seconds.
+    ``started`` says whether work had begun; ``retry_after`` is the forecast wait in seconds.
     """
 
     def __init__(self, detail: str, *, started: bool, retry_after: float) -> None:
@@ -15,4 +15,4 @@
 
 
 class InputsGoneError(StageFailedError):
-    """Results that some pieces read are gone: freed, or lost with their worker."""
+    """Results that pieces read are unavailable: freed, or lost when their worker exited."""
--- a/src/corkcrank/node/stages/stage_messages.py
+++ b/src/corkcrank/node/stages/stage_messages.py
@@ -1,4 +1,4 @@
-"""What an owner of stage workers tells others: loads, answers, log texts."""
+"""Builds what an owner of stage workers sends and logs: loads, answers, log fields."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -18,20 +18,20 @@
     SendTrouble.SILENT: PieceOutcome.FAILED,
     SendTrouble.UNKNOWN: PieceOutcome.BROKEN,
 }
-"""What became of the pieces of a batch without an answer. Only one that broke off shows that its
-pieces may have ended the worker: what was not sent was never there."""
+"""Outcome of the pieces of a batch without a response. Only a connection that failed after the
+batch was sent suggests that its pieces crashed the worker: unsent pieces never reached it."""
 
 
 def load_of(worker_id: str, queue: StageQueue, now: float) -> StageLoad:
-    """Return what heartbeats tell of a queue."""
-    first = Urgency((-1, -1), float("inf"))
+    """Return the load of a queue as heartbeats report it."""
+    most_urgent = Urgency((-1, -1), float("inf"))
     starts = tuple(
         (rank, round(queue.forecast(now, Urgency(rank, float("inf")), 1, 0.0).start, 3))
         for rank in queue.ranks_waiting()
     )
     return StageLoad(
         worker_id=worker_id,
-        free_seconds=round(queue.forecast(now, first, 1, 0.0).start, 3),
+        free_seconds=round(queue.forecast(now, most_urgent, 1, 0.0).start, 3),
         starts=starts,
         waiting=queue.waiting,
         room_free=queue.capacity.room_bytes - queue.room_used - queue.room_wanted,
@@ -39,7 +39,7 @@
 
 
 def stage_item_of(work: StageWork, piece: int, now: float) -> StageItem:
-    """Return the stage item of one piece, with its times on this machine's clock."""
+    """Return the queue item of one piece, with its times converted to this machine's clock."""
     order = PieceOrder(work.call_id, work.stage, piece, work.key, work.inputs)
     return StageItem(
         order=order,
@@ -53,13 +53,13 @@
 
 
 def refuse(work: StageWork, start_seconds: float, detail: str) -> StageAnswer:
-    """Return the answer to pieces that are not queued, and why."""
+    """Return an answer that refuses pieces, with the forecast wait and the reason."""
     refused = PieceResult(PieceOutcome.REFUSED)
     return StageAnswer((refused,) * len(work.pieces), start_seconds, detail)
 
 
 def given_up(stage_items: Sequence[StageItem], now: float) -> dict[str, float]:
-    """Return the calls that gave up pieces of a batch, and how many seconds ago."""
+    """Return the calls that cancelled pieces of a batch, and how many seconds ago."""
     return {
         stage_item.order.call_id: round(now - stage_item.abandoned_at, 3)
         for stage_item in stage_items
@@ -68,7 +68,7 @@
 
 
 def outcome_of(failure: SendFailure) -> PieceOutcome:
-    """Return what became of the pieces of a batch without an answer."""
+    """Return the outcome of the pieces of a batch without a response."""
     return _OUTCOMES[failure.trouble]
 
 
@@ -78,7 +78,7 @@
     outcome: list[PieceResult] | SendFailure | None,
     seconds: float,
 ) -> dict[str, Any]:
-    """Return what the log tells of a batch that has ended."""
+    """Return the log fields of a batch that has ended."""
     queue = entry.queue
     return {
         "worker": entry.worker.worker_id,
@@ -96,7 +96,7 @@
 
 
 def describe(outcome: list[PieceResult] | SendFailure | None) -> str:
-    """Return how the pieces of a call ended, for the log."""
+    """Return the outcomes of the pieces of a call as a log text."""
     if outcome is None:
         return "turned away"
     if isinstance(outcome, SendFailure):
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of stage workers: queues, the calls at work, results given up."""
+"""Queues pieces for the stage workers that this gateway owns, and sends them in batches."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Sequence
@@ -47,11 +47,11 @@
 class StageOwner:
     """Fills the batches of the stage workers that this gateway owns.
 
-    Whoever sends work here is served, also by a gateway that does not think itself the owner:
-    views differ for a moment, and the worker's own queue bears two.
+    Accepts work even if this gateway does not consider itself the owner: membership views differ
+    for a short time, and a worker's own queue can serve two owners.
 
-    ``on_release`` takes a step, ``queued`` or ``stages``, and the seconds since a call left it;
-    ``on_outcome`` a worker and how a call to it ended.
+    ``on_release`` is called with a step, ``queued`` or ``stages``, and the seconds since a call
+    left it; ``on_outcome`` is called with a worker and the outcome of a call to it.
     """
 
     def __init__(
@@ -80,21 +80,21 @@
         self.on_outcome: Callable[[WorkerRecord, CallOutcome], None] = lambda worker, outcome: None
 
     def queue(self, worker_id: str) -> StageQueue | None:
-        """Return the queue of a worker if this gateway has one."""
+        """Return the queue of a worker, or ``None`` if this gateway has none."""
         entry = self._queues.get(worker_id)
         return entry.queue if entry is not None else None
 
     def queues(self) -> list[tuple[str, StageQueue]]:
-        """Return every queue, for dumps and metrics."""
+        """Return all queues with their worker ids, for dumps and metrics."""
         return [(entry.worker.worker_id, entry.queue) for entry in self._queues]
 
     @property
     def busy(self) -> bool:
-        """Return whether any piece waits or is at work."""
+        """Return whether any piece is queued or running."""
         return any(entry.queue.waiting or entry.queue.at_work for entry in self._queues)
 
     def loads(self, now: float) -> tuple[StageLoad, ...]:
-        """Return what heartbeats tell of the queues here."""
+        """Return the loads of the queues that are not idle, for heartbeats."""
         loads = []
         for entry in self._queues:
             if not entry.queue.idle:
@@ -102,7 +102,7 @@
         return tuple(loads)
 
     async def make(self, work: StageWork) -> StageAnswer:
-        """Queue pieces and return their results; on cancellation they are withdrawn."""
+        """Queue pieces and return their results; on cancellation the pieces are withdrawn."""
         if self._refusing:
             return refuse(work, 0.0, "owner is stopping")
         worker = self._mirror.workers.get(work.worker_id)
@@ -138,7 +138,7 @@
         )
 
     def free(self, worker_id: str, handles: Sequence[str]) -> None:
-        """Give up results; a worker that has left needs no word."""
+        """Free results; nothing is sent to a worker that is no longer listed."""
         entry = self._queues.get(worker_id)
         if entry is None:
             worker = self._mirror.workers.get(worker_id)
@@ -150,7 +150,7 @@
         self._pump(entry)
 
     def workers_changed(self) -> None:
-        """Send back the pieces that wait for workers that may be given nothing more."""
+        """Refuse the pieces queued for workers that no longer accept work."""
         for entry in self._queues:
             worker = self._mirror.workers.get(entry.worker.worker_id)
             entry.room.evacuated = entry.worker.zone in self._mirror.workers.evacuated
@@ -162,7 +162,7 @@
                 self._queues.drop(entry)
 
     def refuse_pieces(self) -> None:
-        """Give back the pieces that wait, and take none any more: this gateway stops."""
+        """Refuse queued and later pieces, because this gateway is stopping."""
         self._refusing = True
         for entry in self._queues:
             self._give_back(entry)
@@ -172,7 +172,7 @@
             self._resolve(stage_item, PieceResult(PieceOutcome.REFUSED))
 
     async def close(self) -> None:
-        """Cancel what is at work, and begin nothing any more."""
+        """Cancel the running batches and timers."""
         self.room.close()
         for entry in self._queues:
             if entry.timer is not None:
@@ -205,7 +205,7 @@
             made = future.done() and not future.cancelled() and future.result().handle
             if made:
                 self.free(future.result().worker_id, [future.result().handle])
-        # Not at once: others may leave in the same moment.
+        # Delayed, because further callers may disconnect at the same time.
         for item in entries:
             asyncio.get_running_loop().call_later(LEAST_TIMER_SECONDS, self._pump, item)
 
@@ -217,7 +217,7 @@
         self._take_over(entry, now)
         while (call := next_call(entry, self._limits, now)) is not None:
             if entry.queue.room_sufficed:
-                # A piece that finds no room reads its inputs again.
+                # A piece that finds no free result memory reads its inputs again.
                 self.inputs.begun(call.stage_items)
             self._spawn(self._run(entry, call))
         self._set_timer(entry, now)
@@ -232,7 +232,7 @@
             entry.timer = asyncio.get_running_loop().call_later(delay, self._pump, entry)
 
     def _offer(self, entry: OwnedQueue, profile: ServiceProfile) -> None:
-        """Have idle workers of the pool take pieces that wait for a busy one."""
+        """Let idle workers of the pool steal pieces that are queued for a busy worker."""
         for worker in pool_of(self._mirror.workers, entry.worker).workers:
             if not entry.queue.waiting:
                 return
@@ -240,10 +240,10 @@
                 self._pump(self._queues.of(worker, profile))
 
     def _take_over(self, entry: OwnedQueue, now: float) -> None:
-        """Take over pieces that wait for busy workers, if this one is idle and sound."""
+        """Steal pieces that are queued for busy workers, if this worker is idle and healthy."""
         statistics = self._worker_statistics.get_or_create(entry.worker.worker_id)
-        unsound = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
-        if unsound or statistics.is_unavailable(now) or not self._accepts_work(entry):
+        unhealthy = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
+        if unhealthy or statistics.is_unavailable(now) or not self._accepts_work(entry):
             return
         others = [sibling.queue for sibling in self._queues.siblings(entry)]
         for piece in pieces_to_steal(entry.queue, others, now):
@@ -251,7 +251,7 @@
             entry.queue.submit(piece.stage_item)
 
     def _resolve(self, stage_item: StageItem, result: PieceResult) -> bool:
-        """Hand a result to whoever waits for it; return whether anybody still does."""
+        """Set the result of a piece; return whether its caller was still waiting for it."""
         future = self._futures.pop(id(stage_item), None)
         if future is None or future.done():
             return False
@@ -290,7 +290,7 @@
         self._pump(entry)
 
     def _turned_away(self, entry: OwnedQueue, call: StageCall, now: float) -> None:
-        """Queue the pieces again for a worker that is full: another owner fills it too."""
+        """Requeue pieces that a full worker rejected: another owner sends to it too."""
         entry.queue.requeue(call.stage_items)
         self.inputs.put_back(call.stage_items)
         entry.queue.block_calls(now, FULL_BLOCK_SECONDS)
--- a/src/corkcrank/node/stages/stage_owner_client.py
+++ b/src/corkcrank/node/stages/stage_owner_client.py
@@ -1,4 +1,4 @@
-"""Asks the gateways that own stage workers for pieces, and gives results back to them."""
+"""Client of the gateways that own stage workers: requests pieces and frees results."""
 
 import asyncio
 import random
@@ -21,18 +21,18 @@
 )
 
 WATCH_SECONDS = 0.25
-"""Time between looks at whether the owner of pieces is still alive."""
+"""Time between checks whether the owner of requested pieces is suspected to have failed."""
 
 QUESTION_BITS = 48
-"""Size of a question's number: of 1,000 questions that an owner remembers at a time two have the
-same number once in 500 million times."""
+"""Size of a question's number. Among 1,000 questions that an owner stores at a time, the
+probability that two have the same number is 1 in 500 million."""
 
 
 class StageOwnerClient:
-    """Talks to other gateways about their stage workers.
+    """Sends requests about stage workers to the gateways that own them.
 
-    ``on_wait`` is called again and again with the name of an owner that is waited for;
-    ``on_unused`` takes an answer that came for a question given up meanwhile.
+    ``on_wait`` is called periodically with the name of an owner whose answer is awaited;
+    ``on_unused`` is called with an answer that arrived for a cancelled question.
     """
 
     def __init__(self, fleet: Fleet, peers: PeerClient, random_source: random.Random) -> None:
@@ -44,7 +44,7 @@
         self.on_unused: Callable[[StageAnswer], None] = lambda answer: None
 
     async def make(self, owner: str, address: str, work: StageWork) -> StageAnswer:
-        """Have an owner make pieces; on cancellation its results are given back to it."""
+        """Have an owner run pieces; on cancellation their results are freed."""
         work = msgspec.structs.replace(work, question=1 + self._random.getrandbits(QUESTION_BITS))
         request = asyncio.create_task(
             self._peers.ask(address, PIECES_PATH, msgspec.msgpack.encode(work))
@@ -60,7 +60,7 @@
         known = request.done() and not request.cancelled()
         answer = read_answer(request.result() if known else PeerTrouble.BROKEN, StageAnswer)
         if answer in (PeerTrouble.SILENT, PeerTrouble.UNREADABLE):
-            # The owner lives, and may have made the pieces: only its answer is lost.
+            # The owner is alive and may have run the pieces: only its answer is missing.
             lost = PieceResult(PieceOutcome.FAILED)
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"no word from owner {owner}")
         if isinstance(answer, PeerTrouble):
@@ -76,18 +76,18 @@
         handles: tuple[str, ...],
         otherwise: Callable[[], None],
     ) -> None:
-        """Tell an owner of results that nobody reads; ``otherwise`` is called if it is lost."""
+        """Free results at an owner; ``otherwise`` is called if the owner is unreachable."""
         self._spawn(self._free(address, FreeResults(worker_id, handles), otherwise))
 
     async def settle(self, seconds: float) -> None:
-        """Let owners be told what was given up, for so many seconds at most."""
+        """Wait at most ``seconds`` for the messages to owners that are in flight."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=seconds)
 
     async def _answered_or_lost(
         self, owner: str, request: asyncio.Task[bytes | PeerTrouble]
     ) -> None:
-        """Wait until an owner has answered or is suspected."""
+        """Wait until an owner has answered or is suspected to have failed."""
         while not request.done():
             await asyncio.wait({request}, timeout=WATCH_SECONDS)
             self.on_wait(owner)
@@ -97,10 +97,10 @@
     def _give_up(
         self, address: str, work: StageWork, request: asyncio.Task[bytes | PeerTrouble]
     ) -> None:
-        """Give back what a question brought, or take it back from its owner.
+        """Free the results of a cancelled question, or withdraw it at its owner.
 
-        The connection is closed with the question; that withdraws pieces that are not made yet.
-        An answer that is on its way would hold its room for seconds if its owner were not told.
+        Cancelling the request closes the connection, which withdraws pieces that have not run yet.
+        Results of an answer in transit would occupy memory for seconds without the withdrawal.
         """
         if not request.done() or request.cancelled():
             self._spawn(self._withdraw(address, work.question))
@@ -110,7 +110,7 @@
             self.on_unused(answer)
 
     async def _withdraw(self, address: str, question: int) -> None:
-        """Take a question back; an owner that is lost has lost its results' handles, too."""
+        """Withdraw a question; a failed owner has lost the handles of its results as well."""
         message = msgspec.msgpack.encode(WithdrawnQuestion(question))
         await self._peers.ask(address, WITHDRAW_PATH, message, repeat=True)
 
--- a/src/corkcrank/node/stages/stage_placing.py
+++ b/src/corkcrank/node/stages/stage_placing.py
@@ -1,4 +1,4 @@
-"""What is known of a call's pieces when their worker is chosen."""
+"""Builds the inputs of a worker choice for pieces of a call's stage."""
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.opaque_call import OpaqueCall
@@ -11,21 +11,21 @@
 def stage_placing(
     plan: StagePlan, dispatch: StageDispatch, call: OpaqueCall, stage: int, pieces: int
 ) -> StagePlacing:
-    """Return what is known of some pieces before their inputs and their reader are."""
+    """Return the inputs of a worker choice, apart from the location of input results and reader."""
     definition = plan.definition(stage)
-    due = call.objective_at - clock.now()
-    urgency = Urgency(call.rank, round(due, 3))
-    later = begun_urgency(urgency)
-    followers = [
+    seconds_to_objective = call.objective_at - clock.now()
+    urgency = Urgency(call.rank, round(seconds_to_objective, 3))
+    next_urgency = begun_urgency(urgency)
+    next_stages = [
         (plan.definition(reader), plan.counts[reader])
         for reader in plan.reader_stages(stage)
         if plan.counts[reader]
     ]
 
-    def ahead(zone: str) -> float:
+    def longest_next_wait(zone: str) -> float:
         waits = [
-            dispatch.wait_in_zone(item.service, zone, later, count, float(item.result_bytes))
-            for item, count in followers
+            dispatch.wait_in_zone(item.service, zone, next_urgency, count, float(item.result_bytes))
+            for item, count in next_stages
         ]
         return max(waits, default=0.0)
 
@@ -34,8 +34,8 @@
         pieces=pieces,
         size=float(definition.result_bytes),
         urgency=urgency_at(plan, stage, urgency),
-        end_by=due,
-        next_stage_wait=ahead if followers else None,
+        end_by=seconds_to_objective,
+        next_stage_wait=longest_next_wait if next_stages else None,
     )
 
 
--- a/src/corkcrank/node/stages/stage_room.py
+++ b/src/corkcrank/node/stages/stage_room.py
@@ -1,4 +1,4 @@
-"""The room of stage workers: results given up, and what the workers report as free."""
+"""Manages the result memory of stage workers: frees results and requests memory reports."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Sequence
@@ -19,22 +19,22 @@
 from corkcrank.scheduling.stage_queue import StageQueue
 
 FREE_SHARE = 4.0
-"""Calls that a limited worker may be sent in the time between two messages that free results:
-they are requests to it as well, but take no slot."""
+"""Calls that a rate-limited worker may be sent between two messages that free results. Those
+messages count as requests too, but take no slot."""
 
 LONGEST_FREE_SECONDS = 2.0
-"""Longest time between two such messages; results lapse by themselves after some seconds."""
+"""Maximum time between two messages that free results; unfreed results expire after seconds."""
 
 Spawn = Callable[[Coroutine[None, None, None]], asyncio.Task[None]]
 
 
 @dataclass(slots=True)
 class WorkerRoom:
-    """What is under way about one worker's room; ``to_free`` holds results' handles.
+    """Pending messages about one worker's result memory; ``to_free`` contains result handles.
 
-    ``ended`` says that the worker has started again. What it held went with it, and its next
-    incarnation, at the same address, may have given the same handles to others' results.
-    ``evacuated`` says that nothing may be sent to it: what it holds lapses by itself.
+    ``ended`` says that the worker has restarted. Its results were lost, and its next incarnation,
+    at the same address, may have assigned the same handles to results of other calls.
+    ``evacuated`` says that nothing may be sent to the worker; its results expire by themselves.
     """
 
     worker: WorkerRecord
@@ -47,16 +47,16 @@
 
     @property
     def reachable(self) -> bool:
-        """Return whether the worker may be sent anything."""
+        """Return whether messages may be sent to the worker."""
         return not self.ended and not self.evacuated
 
 
 class StageRoom:
-    """Tells workers which results nobody reads any more, and asks them for their free room.
+    """Frees unused results at workers, and requests reports of their free memory.
 
     ``spawn`` runs a task in the background; ``on_change`` is called with a worker's id when
-    its room may have become larger. A report of another incarnation than the one asked tells
-    nothing of its room, and is passed over; ``on_unreadable`` hears of any that cannot be read.
+    its free memory may have grown. A report of another incarnation than the requested one does
+    not describe that worker and is ignored; ``on_unreadable`` is called with unreadable reports.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.on_unreadable: UnreadableListener = ignore_unreadable
 
     def free(self, room: WorkerRoom, handles: Sequence[str]) -> None:
-        """Give up results; what gathers while a message is under way goes together."""
+        """Free results; while a message is in flight, later ones collect for the next."""
         now = clock.now()
         for handle in handles:
             room.queue.free_result(handle, now)
@@ -91,14 +91,14 @@
             task.add_done_callback(self._freeing.discard)
 
     async def settle(self, seconds: float) -> None:
-        """Wait for the messages that are under way, for so many seconds at most."""
+        """Wait at most ``seconds`` for the messages in flight."""
         if self._freeing:
             await asyncio.wait(set(self._freeing), timeout=seconds)
 
     def ask(self, room: WorkerRoom) -> None:
-        """Ask a worker how much room it has, unless a question is under way.
+        """Request a memory report from a worker, unless such a request is in flight.
 
-        A limited worker is not asked: its calls are worth more.
+        A rate-limited worker is not asked: its limit is better spent on calls.
         """
         limited = self._limits.interval(room.worker, clock.now()) > 0
         if room.reachable and not room.asking and not limited and not self._closed:
@@ -106,7 +106,7 @@
             self._spawn(self._learn(room))
 
     def close(self) -> None:
-        """Send nothing any more: the connections to workers are about to close."""
+        """Stop sending messages: the connections to workers are about to close."""
         self._closed = True
 
     async def _send_frees(self, room: WorkerRoom) -> None:
--- a/src/corkcrank/node/stages/stage_round.py
+++ b/src/corkcrank/node/stages/stage_round.py
@@ -1,4 +1,4 @@
-"""One placing of some pieces of a stage at one worker, and how they ended."""
+"""The outcome of one attempt to run pieces of a stage at one worker."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class StageRound:
-    """The pieces, the worker they were placed at, and its owner's answer."""
+    """The pieces, the worker they were placed at, and the answer of its owner."""
 
     worker: WorkerRecord
     pieces: tuple[int, ...]
@@ -18,18 +18,18 @@
 
     @property
     def outcomes(self) -> set[PieceOutcome]:
-        """Return how the pieces ended."""
+        """Return the set of outcomes of the pieces."""
         return {result.outcome for result in self.answer.results}
 
     @property
     def inputs_gone(self) -> bool:
-        """Return whether pieces that were not made would find no inputs another time."""
+        """Return whether pieces that were not completed would find no inputs on a retry."""
         missing = self.outcomes != {PieceOutcome.DONE}
         return PieceOutcome.INPUT_GONE in self.outcomes or (self.answer.inputs_freed and missing)
 
 
 def gone_detail(rounds: Sequence[StageRound]) -> str:
-    """Return how pieces ended whose inputs are gone, and whether those were freed."""
+    """Describe the outcomes of pieces without inputs, and whether those were freed or lost."""
     outcomes = sorted({outcome.value for item in rounds for outcome in item.outcomes})
     freed = any(item.answer.inputs_freed for item in rounds)
     return f"{', '.join(outcomes)}; inputs {'freed' if freed else 'lost'}"
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -1,4 +1,4 @@
-"""The stages of one call: places pieces, gathers results, frees what nobody reads."""
+"""Runs the stages of one call: places pieces, collects results and frees unused ones."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -23,17 +23,17 @@
 from corkcrank.scheduling.stage_plan import StagePlan
 
 MAXIMUM_ROUNDS = 4
-"""Times that the pieces of one stage are placed before the call is given up."""
+"""Maximum number of times that the pieces of one stage are placed before the call fails."""
 
 ROUND_PAUSE_SECONDS = 0.05
-"""Pause before pieces that nobody took are placed again."""
+"""Pause before pieces that were not completed are placed again."""
 
 _NOT_MADE = (PieceOutcome.REFUSED, PieceOutcome.FAILED, PieceOutcome.BROKEN)
 
 
 @dataclass(frozen=True, slots=True)
 class _Announcement:
-    """What the owner of a stage's pieces is told of the call: see :class:`StageWork`."""
+    """Facts about the call that are sent to the owner of its pieces: see :class:`StageWork`."""
 
     following: tuple[FollowingPieces, ...]
     begins: bool
@@ -43,10 +43,10 @@
 class StageRun:
     """Runs the stages of one call; its results are freed by :meth:`close`.
 
-    ``rest_seconds`` is what follows the stages, ``spread_seconds`` the standard deviation of the
-    forecast by which the call was admitted.
+    ``rest_seconds`` is the time needed after the stages; ``spread_seconds`` is the standard
+    deviation of the forecast by which the call was admitted.
 
-    ``started`` says that a piece was made or tried, ``_begun`` that the first were asked for.
+    ``started`` says whether a piece was run or attempted, ``_begun`` whether any was requested.
     """
 
     call: OpaqueCall
@@ -65,13 +65,13 @@
     _begun: bool = False
     _made_again: bool = False
     _short_of_room: set[int] = field(default_factory=set)
-    """Stages for whose workers' room others wait."""
+    """Stages at whose workers other pieces wait for result memory."""
 
     async def run(self) -> tuple[str, ...]:
-        """Return the results that the call reads, once every stage has ended.
+        """Return the results that the call reads, once every stage has completed.
 
-        Inputs are freed as soon as a worker has read them. If that worker fails, or was quicker
-        or slower than was thought, all is made again, once.
+        Inputs are freed as soon as a worker has read them. If that worker fails, or was faster
+        or slower than estimated, all stages are rerun, once.
 
         Raises :class:`StageFailedError`.
         """
@@ -105,9 +105,9 @@
         return self.plan.final_handles()
 
     def _start_stages(self) -> list[tuple[asyncio.Task[tuple[str, ...]], int]]:
-        """Start the stages that may start now.
+        """Start the stages that are ready.
 
-        The longest branch tells what the call will ask for later, so that it counts once.
+        Only the longest branch reports the later pieces of the call, so that they count once.
         """
         ready = self.plan.ready_stages()
         for stage in ready:
@@ -128,7 +128,7 @@
         )
 
     def close(self) -> None:
-        """Free every result that is still held."""
+        """Free all results that are still stored."""
         self.closed = True
         self.plan.release_all_results()
         self._free_all()
@@ -146,9 +146,9 @@
         handles: dict[int, str] = {}
         refused: set[str] = set()
         detail, wait = "", 0.0
-        for turn in range(MAXIMUM_ROUNDS):
+        for attempt in range(MAXIMUM_ROUNDS):
             missing = [piece for piece in range(count) if piece not in handles]
-            if turn:
+            if attempt:
                 await asyncio.sleep(ROUND_PAUSE_SECONDS)
             if wait := await self.crash_watch.wait_for_verdict(self.call):
                 raise StageFailedError("quarantined", started=self.started, retry_after=wait)
@@ -187,7 +187,7 @@
         self._look_at_broken(item)
 
     def _look_at_broken(self, item: StageRound) -> None:
-        """Have the workers looked at that broke pieces of this call off."""
+        """Report connection failures of workers under this call's pieces to the crash watch."""
         broken = {
             result.worker_id
             for result in item.answer.results
@@ -205,7 +205,7 @@
         refused: set[str],
         announcement: _Announcement,
     ) -> list[StageRound]:
-        """Place pieces, batch by batch, each where it would end first."""
+        """Place pieces in batches, each at the worker with the earliest forecast end."""
         definition = self.plan.definition(stage)
         capacity = self.dispatch.capacity(definition.service)
         if capacity is None:
@@ -286,10 +286,11 @@
         return StageRound(worker, pieces, answer)
 
     def _last_reads(self, stage: int, pieces: int) -> tuple[FreeResults, ...]:
-        """Return the results that pieces read and nobody after them, by worker.
+        """Return the results of which these pieces are the last readers, by worker.
 
-        None where nobody waits for their room: a worker that fails costs all stages once more.
-        Where only a part of a stage's pieces is placed together, the others read them too.
+        Returns none if no piece waits for their memory: after an early release, a failed worker
+        causes a rerun of all stages. Returns none if only a part of a stage's pieces is placed
+        together, because the other pieces read the results too.
         """
         if pieces != self.plan.counts[stage]:
             return ()
@@ -302,7 +303,7 @@
         return self._held.by_worker(handles)
 
     def _input_bytes(self, stage: int, pieces: int) -> dict[str, float]:
-        """Return the bytes that pieces of a stage pull, by the zone they lie in."""
+        """Return the bytes that pieces of a stage fetch, by the zone in which they are stored."""
         inputs: dict[str, float] = {}
         for source in self.plan.definition(stage).after:
             size = pieces * self.plan.definition(source).result_bytes
@@ -311,24 +312,24 @@
         return inputs
 
     def _urgency(self, stage: int) -> Urgency:
-        """Return the call's rank at a stage, and when its stages are due in seconds from now."""
-        due = self.call.objective_at - clock.now() - self.rest_seconds
-        return urgency_at(self.plan, stage, Urgency(self.call.rank, round(due, 3)))
+        """Return the urgency at a stage: the rank, and the seconds until the stages must end."""
+        seconds_left = self.call.objective_at - clock.now() - self.rest_seconds
+        return urgency_at(self.plan, stage, Urgency(self.call.rank, round(seconds_left, 3)))
 
     def _start_by(self, now: float) -> float:
-        """Return the wait that is still worth it.
+        """Return the maximum wait in seconds after which pieces may still start.
 
-        Before any work was begun, only a start that keeps the objective is. Later, a call
-        is given up that is later than errors of its forecast usually are. Neither it nor a
-        caller that came back too late for its objective is sent away from a worker that is
-        free or nearly so: callers were, after 4 s, beside free workers.
+        Before any work has begun, a start must still meet the objective. Later, a call is
+        cancelled once it is later than usual forecast errors explain. Neither such a call nor a
+        returning caller that is too late for its objective is refused at a worker that is free
+        or nearly free: without this rule callers were refused after 4 s beside free workers.
         """
         limit = self.call.objective_at
         if self.started or self.returning:
             limit += MAX_OVERRUN_DEVIATIONS * self.spread_seconds
         limit = min(limit, self.call.end_at)
-        least = MAX_IDLE_WAIT_SECONDS if self.started or self.returning else 0.0
-        return max(least, limit - now - self.rest_seconds)
+        minimum = MAX_IDLE_WAIT_SECONDS if self.started or self.returning else 0.0
+        return max(minimum, limit - now - self.rest_seconds)
 
 
 async def _cancel(tasks: list[asyncio.Task[tuple[str, ...]]]) -> None:
--- a/src/corkcrank/node/stages/stage_worker_client.py
+++ b/src/corkcrank/node/stages/stage_worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to stage workers: pieces asked for, results given up."""
+"""Client of stage workers: runs pieces, frees results, fetches reports."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -24,23 +24,23 @@
 from corkcrank.scheduling.stage_queue import StageCall
 
 CALL_TIME_FACTOR = 4.0
-"""A call is given up after this multiple of its expected time, plus the margin."""
+"""A call times out after this multiple of its expected time, plus the margin."""
 
 CALL_TIME_MARGIN = 1.0
-"""Seconds added to the limit above; also the limit of giving results up."""
+"""Seconds added to the limit above; also the timeout of messages that free results."""
 
 REPORT_SECONDS = 0.2
-"""Longest wait for a report: many round trips, and less than a usual call."""
+"""Timeout of a report: many round trips, and less than a usual call."""
 
 KNOWN_HANDLES = 512
-"""Handles remembered of each worker, to tell a surplus answer from a new one."""
+"""Handles stored for each worker, to distinguish a duplicate answer from a new one."""
 
 TURNED_AWAY_STATUS = 503
-"""Status of a worker that is full and has not run the call."""
+"""Status of a worker that is at capacity and has not run the call."""
 
 
 class StageWorkerClient:
-    """Sends one call at a time for its queue, and reads what comes back."""
+    """Sends calls to stage workers and decodes their responses."""
 
     def __init__(
         self, codec: StageCodec, client: WorkerClient, statements: WorkerStatements
@@ -52,9 +52,9 @@
     async def ask(
         self, worker: WorkerRecord, call: StageCall, known_handles: dict[str, None]
     ) -> list[PieceResult] | SendFailure | None:
-        """Return results, a failure, or ``None`` if the worker turned the call away unrun.
+        """Return results, a failure, or ``None`` if the worker rejected the call unexecuted.
 
-        An answer with a handle that is known belongs to an earlier call.
+        An answer with a known handle belongs to an earlier call.
         """
         now = clock.now()
         orders = [_remaining(stage_item, now) for stage_item in call.stage_items]
@@ -67,16 +67,16 @@
         return await self._read(response, len(orders), known_handles, limit)
 
     async def free(self, worker: WorkerRecord, handles: Sequence[str]) -> None:
-        """Give results up; if that fails, the worker forgets them by itself in time."""
+        """Free results; if that fails, they expire at the worker."""
         body = self._codec.encode_free(handles)
         response = await self._open(worker, "POST", self._codec.free_path, body, CALL_TIME_MARGIN)
         if not isinstance(response, SendFailure):
             await self._client.read_body(response, CALL_TIME_MARGIN)
 
     async def report(self, worker: WorkerRecord) -> StageWorkerReport | Unreadable | None:
-        """Return what a worker reports of its room, or ``None`` without an answer.
+        """Return a worker's memory report, or ``None`` if it did not answer.
 
-        An answer that cannot be read is returned as such.
+        An answer that cannot be decoded is returned as :class:`Unreadable`.
         """
         response = await self._open(worker, "GET", self._codec.report_path, b"", REPORT_SECONDS)
         if isinstance(response, SendFailure):
@@ -89,7 +89,7 @@
     async def _open(
         self, worker: WorkerRecord, method: str, path: str, body: bytes, seconds: float
     ) -> aiohttp.ClientResponse | SendFailure:
-        """Ask a worker something, and take what its answer says of the worker itself."""
+        """Send a request, and record what the response headers state about the worker."""
         headers = list(self._codec.run_headers(worker).items())
         response = await self._client.send_request(
             method, worker.address, path, headers, body, seconds, fresh=False
--- a/tests/platform/test_begun_calls.py
+++ b/tests/platform/test_begun_calls.py
@@ -1,7 +1,8 @@
-"""Whose pieces go first at a stage that reads an earlier one's results.
+"""Order of pieces at a stage that reads the results of an earlier one.
 
-On a played day 54 calls of the least urgent route were given up after their first stage: more
-urgent ones passed them at the second, which was scarce, until they were late.
+Guards against begun calls that starve: in a simulated day 54 calls of the least urgent route were
+cancelled after their first stage, because more urgent calls overtook them at the scarce second
+stage until they were late.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
     route("due", "stream", "model", priority=2, stages=STAGES, target_latency_ms=2_500),
 ]
 PIECES = {"X-Corkcrank-Segments": "4,4", "X-Corkcrank-Segment-Key": "abcd"}
-"""As many pieces as a batch holds, so that each call's are a batch of their own."""
+"""A full batch of pieces for each call, so that calls do not share a batch."""
 
 PAYING_KEY = "key-of-a-tenant-who-pays"
 TENANTS = [
@@ -29,9 +30,9 @@
 
 
 async def order_at_the_second_stage(*calls: tuple[str, str]) -> list[int]:
-    """Begin calls (route, key) one after the other; return the order in which they are finished.
+    """Start calls (route, key) one by one; return their order at the second stage.
 
-    The first call of all holds the second stage's worker until the others wait for it.
+    An additional first call occupies the second stage's worker until the others are queued.
     """
     gate = asyncio.Event()
     encode, rerank = StandinStageWorker(), StandinStageWorker(gate=gate)
@@ -57,14 +58,14 @@
     return [int(pieces[0]["id"], 16) for pieces in rerank.calls[1:]]
 
 
-async def test_a_begun_call_that_is_due_is_not_passed_by_a_more_urgent_route() -> None:
+async def test_begun_call_near_its_objective_precedes_a_more_urgent_route() -> None:
     assert await order_at_the_second_stage(("due", KEY), ("urgent", KEY)) == [1, 2]
 
 
-async def test_of_calls_due_at_about_the_same_time_the_more_urgent_route_goes_first() -> None:
+async def test_more_urgent_route_goes_first_among_calls_with_similar_objectives() -> None:
     assert await order_at_the_second_stage(("patient", KEY), ("urgent", KEY)) == [2, 1]
 
 
-async def test_a_call_of_a_tenant_who_pays_for_priority_goes_first() -> None:
+async def test_call_of_a_tenant_with_higher_priority_goes_first() -> None:
     order = await order_at_the_second_stage(("due", KEY), ("patient", PAYING_KEY))
     assert order == [2, 1]
--- a/tests/platform/test_input_releases.py
+++ b/tests/platform/test_input_releases.py
@@ -1,8 +1,9 @@
-"""Results that a stage reads give their room up once they are read, not when the stage has ended.
+"""Input results are freed once a worker has read them, not when the reading stage has ended.
 
-In a played burst the workers of a stage with large results had room for 101 of them, held each
-for 0.9 s, 0.36 s of it while the next stage had read them already, and sent batches of 30 for 47
-pieces while 125 waited: 620 calls were refused.
+Guards against refusals for lack of result memory. In a simulated burst the workers of a stage with
+large results had memory for 101 results and stored each for 0.9 s, 0.36 s of that after the
+next stage had read it. They sent batches of 30 for 47 pieces while 125 waited; 620 calls were
+refused.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 from corkcrank.load.loopback import loopback_address
 
 RESULT_BYTES = 4_000_000
-"""Two results of a call fill the room of 10 MB: a second call waits for it."""
+"""Two results of a call fill the 10 MB of result memory, so that a second call waits."""
 
 ENCODE = {"service": "encode", "since_revision": [], "byte_length": RESULT_BYTES}
 RERANK = {"service": "rerank", "since_revision": [0], "byte_length": 500}
@@ -27,7 +28,7 @@
 
 
 class Chain:
-    """One worker for each step; the second stage's calls wait for ``gate``."""
+    """One worker for each stage and the model; calls of the second stage wait for ``gate``."""
 
     def __init__(self) -> None:
         self.gate = asyncio.Event()
@@ -58,7 +59,7 @@
     return [asyncio.create_task(status(running, path, number)) for number in numbers]
 
 
-async def test_a_call_gets_the_room_of_results_that_are_read_while_they_are_worked_on() -> None:
+async def test_inputs_are_freed_for_the_next_call_while_their_reader_is_running() -> None:
     chain = Chain()
     async with world(configuration(1, ROUTES), chain.served()) as running:
         calls = two_calls(running)
@@ -70,7 +71,7 @@
         await chain.all_freed()
 
 
-async def test_it_does_so_where_another_gateway_owns_the_workers() -> None:
+async def test_inputs_are_freed_if_another_gateway_owns_the_workers() -> None:
     chain = Chain()
     async with (
         world(configuration(1, ROUTES), chain.served()) as running,
@@ -85,8 +86,8 @@
         await chain.all_freed()
 
 
-async def test_inputs_for_whose_room_nobody_waits_are_kept_to_the_stage_s_end() -> None:
-    """A worker that failed then would cost all stages once more, for nothing."""
+async def test_inputs_are_kept_until_the_stage_ends_if_no_piece_waits_for_memory() -> None:
+    """An early release would gain nothing, and a worker failure would rerun all stages."""
     chain = Chain()
     chain.rerank.faults = deque(["reset-at-work"])
     async with world(configuration(1, ROUTES), chain.served()) as running:
@@ -100,7 +101,7 @@
         await chain.all_freed()
 
 
-async def test_inputs_that_a_second_stage_reads_too_are_kept_for_it() -> None:
+async def test_inputs_of_two_stages_are_kept_for_the_second_reader() -> None:
     chain = Chain()
     async with world(configuration(1, ROUTES), chain.served()) as running:
         calls = two_calls(running, "/fork/x")
@@ -113,7 +114,7 @@
         await chain.all_freed()
 
 
-async def test_a_worker_that_is_lost_after_it_has_read_costs_the_stages_once_more() -> None:
+async def test_worker_failure_after_the_release_reruns_the_stages() -> None:
     chain = Chain()
     chain.rerank.faults = deque(["reset-at-work"])
     async with world(configuration(1, ROUTES), chain.served()) as running:
@@ -127,7 +128,7 @@
         await chain.all_freed()
 
 
-async def test_a_worker_that_turns_pieces_away_costs_nothing_again() -> None:
+async def test_rejected_pieces_do_not_rerun_the_earlier_stage() -> None:
     chain = Chain()
     chain.rerank.faults = deque(["full", "full"])
     chain.gate.set()
@@ -137,7 +138,7 @@
         await chain.all_freed()
 
 
-async def test_a_caller_that_leaves_meanwhile_leaves_no_result_behind() -> None:
+async def test_cancelled_calls_free_all_results() -> None:
     chain = Chain()
     async with world(configuration(1, ROUTES), chain.served()) as running:
         calls = two_calls(running)
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -1,4 +1,8 @@
-"""Two gateways before one stage worker: one fills its batches, and what if it dies."""
+"""Two gateways share one stage worker: its owner fills the batches for both.
+
+Guards against half-filled batches, against a change of owner through a pause of the process, and
+against calls that fail when the owner is killed or freezes.
+"""
 
 import asyncio
 import time
@@ -21,19 +25,19 @@
     )
 ]
 LARGE_FLEET_BYTES = 200_000.0
-SELDOM_SECONDS = 3.0
+LONG_INTERVAL_SECONDS = 3.0
 PATIENT_ROUTE = {**ROUTES[0], "target_latency_ms": 3_500}
 SLOW_CALL_MS = 600.0
-"""A call at the stage worker is given up after four times this and a second, 3.4 s."""
+"""A call at the stage worker times out after four times this plus one second, 3.4 s."""
 
 PAUSE_SECONDS = 1.5
-"""Longer than the silence of 1 s after which a member is suspected in a small fleet."""
+"""Longer than the 1 s without heartbeats after which a small fleet suspects a member."""
 
 PIECES = {"X-Corkcrank-Segments": "1", "X-Corkcrank-Segment-Key": "k"}
 
 
 async def acquainted(first: Node, second: Node) -> None:
-    """Wait until both gateways serve and know that of each other."""
+    """Wait until each gateway knows that the other one is serving."""
 
     def knows(one: Node, other: Node) -> bool:
         member = one.fleet.member(other.fleet.own_name)
@@ -43,7 +47,7 @@
 
 
 def slow_configuration() -> dict[str, Any]:
-    """Return a configuration whose limits of time are long beside a pause of the process."""
+    """Return a configuration with timeouts much longer than a pause of the process."""
     services = [
         {"name": "model", "engine": {"slots": 16, "kv_capacity": 100_000}},
         stage_service("encode", call_ms=SLOW_CALL_MS),
@@ -52,7 +56,7 @@
 
 
 def pause() -> None:
-    """Let nothing of this process run for a while, as a stopped machine does."""
+    """Block the whole process, as a suspended machine does."""
     time.sleep(PAUSE_SECONDS)
 
 
@@ -70,7 +74,7 @@
     return response.status
 
 
-async def test_pieces_of_two_gateways_go_out_in_one_batch() -> None:
+async def test_pieces_of_two_gateways_are_sent_in_one_batch() -> None:
     gate = asyncio.Event()
     encode = StandinStageWorker(gate=gate)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
@@ -89,7 +93,7 @@
     assert [len(call) for call in encode.calls] == [1, 3]
 
 
-async def test_pieces_stay_with_their_owner_over_a_pause_of_the_process() -> None:
+async def test_pieces_stay_with_their_owner_during_a_pause_of_the_process() -> None:
     gate = asyncio.Event()
     encode = StandinStageWorker(gate=gate)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
@@ -110,7 +114,7 @@
     assert [len(call) for call in encode.calls] == [1, 3]
 
 
-async def test_pieces_are_placed_anew_when_their_owner_dies() -> None:
+async def test_pieces_are_placed_again_when_their_owner_is_killed() -> None:
     gate = asyncio.Event()
     encode = StandinStageWorker(gate=gate)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
@@ -128,7 +132,7 @@
         assert await call == 200
 
 
-async def test_pieces_are_placed_anew_when_their_owner_freezes_in_a_large_fleet() -> None:
+async def test_pieces_are_placed_again_when_their_owner_freezes_in_a_large_fleet() -> None:
     gate = asyncio.Event()
     encode = StandinStageWorker(gate=gate)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
@@ -139,9 +143,9 @@
     ):
         await acquainted(running.nodes[0], second)
         for node in running.nodes:
-            # As with hundreds of members: the next heartbeat comes after many seconds.
+            # As with hundreds of members: the next heartbeat is sent after many seconds.
             node.fleet._heartbeat_bytes = LARGE_FLEET_BYTES
-        await until(lambda: all(hears_seldom(node) for node in running.nodes))
+        await until(lambda: all(has_long_heartbeat_intervals(node) for node in running.nodes))
         owner = owner_of(running, encode)
         other = 1 - running.nodes.index(owner)
         call = asyncio.create_task(call_through(running, other))
@@ -151,14 +155,16 @@
         assert await call == 200
 
 
-def hears_seldom(node: Node) -> bool:
-    """Return whether every other gateway told this one that it is heard seldom."""
+def has_long_heartbeat_intervals(node: Node) -> bool:
+    """Return whether every other gateway announced a long heartbeat interval to this one."""
     members = node.fleet.live(clock.now())
-    return bool(members) and all(item.heartbeat.interval > SELDOM_SECONDS for item in members)
+    return bool(members) and all(
+        item.heartbeat.interval > LONG_INTERVAL_SECONDS for item in members
+    )
 
 
 def freeze(node: Node) -> None:
-    """Have a gateway keep its connections open and say nothing any more."""
+    """Stop a gateway from sending anything while its connections stay open."""
     for task in node._loops:
         task.cancel()
     node.heartbeats.close()
@@ -167,7 +173,7 @@
 
 
 async def die(node: Node) -> None:
-    """Stop a gateway's loops and its server without a word, as a kill does."""
+    """Stop a gateway's loops and its server without notice, as a kill does."""
     for task in node._loops:
         task.cancel()
     node.heartbeats.close()
--- a/tests/platform/test_recent_answers.py
+++ b/tests/platform/test_recent_answers.py
@@ -1,4 +1,8 @@
-"""Answers are given to their asker or freed, once, whichever of both messages comes first."""
+"""An answer is either sent to its asker or freed, exactly once.
+
+Guards against result memory that is occupied until expiry, or freed twice, when the answer and the
+message that withdraws its question cross on the network.
+"""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,7 +23,7 @@
 
 
 @given(steps=STEPS)
-def test_an_answer_that_is_taken_back_in_time_is_freed_once(
+def test_an_answer_withdrawn_in_time_is_freed_once(
     steps: list[tuple[str, int, float]],
 ) -> None:
     recent = RecentAnswers()
@@ -40,10 +44,10 @@
             taken_back[question] = now
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_the_number_of_stored_answers_is_bounded() -> None:
     recent = RecentAnswers()
     for question in range(1, MOST_KEPT + 10):
         assert recent.note_answered(question, answer(question), 0.0)
     assert len(recent._entries) <= MOST_KEPT
-    assert recent.take_back(1, 0.0) is None, "the oldest is forgotten first"
+    assert recent.take_back(1, 0.0) is None, "the oldest answer is removed first"
     assert recent.take_back(MOST_KEPT, 0.0) == answer(MOST_KEPT)
--- a/tests/platform/test_room_of_leavers.py
+++ b/tests/platform/test_room_of_leavers.py
@@ -1,4 +1,8 @@
-"""Pieces that wait behind those of a caller who leaves start at once."""
+"""Pieces queued behind those of a caller that disconnects start at once.
+
+Guards against a queue that is not checked when pieces are withdrawn: pieces that fit into the
+result memory then wait until some other result is freed.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,7 +13,7 @@
 from platform_standins import StandinStageWorker, StandinWorker
 
 SIZES = {"first": 6_000_000, "large": 8_000_000, "small": 3_000_000}
-"""Bytes of results by route; a stage worker has room for ten million."""
+"""Bytes of results by route; a stage worker has result memory for ten million."""
 
 ROUTES = [
     route(
@@ -26,7 +30,7 @@
 
 @asynccontextmanager
 async def waiting_behind() -> AsyncIterator[tuple[StandinStageWorker, Caller, Caller]]:
-    """Have a result hold room, a large piece wait for more, and a small one behind it."""
+    """Occupy memory with a result, and queue a large piece that needs more before a small one."""
     model, encode = StandinWorker(events=3, hold=asyncio.Event()), StandinStageWorker()
     served: Served = {"m": (model, "model"), "e": (encode, "encode")}
     async with (
@@ -48,17 +52,17 @@
         yield encode, large, small
 
 
-async def test_a_piece_behind_one_that_is_withdrawn_starts_at_once() -> None:
-    """A small piece that fitted the room went on waiting after the large one before it left.
+async def test_a_piece_queued_behind_a_withdrawn_one_starts_at_once() -> None:
+    """A small piece that fitted into the memory kept waiting after the large one was withdrawn.
 
-    Nothing looked at the queue again until a result was freed.
+    The queue was not checked again until a result was freed.
     """
     async with waiting_behind() as (encode, large, _):
         large.leave()
         await until(lambda: len(encode.calls) == 2, seconds=LEAVE_SECONDS)
 
 
-async def test_nothing_starts_for_callers_who_leave_in_the_same_moment() -> None:
+async def test_no_piece_starts_for_callers_that_disconnect_at_the_same_time() -> None:
     async with waiting_behind() as (encode, large, small):
         large.leave()
         small.leave()
--- a/tests/platform/test_stage_room.py
+++ b/tests/platform/test_stage_room.py
@@ -1,4 +1,7 @@
-"""An owner learns from a stage worker how much room it has, and does not ask in vain."""
+"""An owner obtains the free result memory of a stage worker from reports.
+
+Guards against calls that are sent again and again to a worker without free memory.
+"""
 
 import asyncio
 
@@ -6,7 +9,7 @@
 from platform_standins import StandinStageWorker, StandinWorker
 
 RESULT_BYTES = 4_000_000
-"""Of the 10 MB of a stand-in's stated room."""
+"""Of the 10 MB of result memory that a stand-in states."""
 
 ROUTES = [
     route(
@@ -18,27 +21,27 @@
 ]
 PIECES = {"X-Corkcrank-Segments": "1", "X-Corkcrank-Segment-Key": "abcd"}
 
-VAIN_CALLS = 6
-"""Most calls that find no room in the half second of the test: one a report's hold and the
-first, with none of the spinning that a call a round trip would be."""
+MAX_REJECTED_CALLS = 6
+"""Maximum calls that find no memory in the half second of the test: the first, and one for each
+block after a report. A busy loop would send one call a round trip."""
 
 
-async def test_room_that_others_hold_is_waited_for_and_not_asked_for() -> None:
+async def test_memory_occupied_by_others_is_awaited_without_repeated_calls() -> None:
     encode = StandinStageWorker(room=0, free_mb=0.0)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
         call = asyncio.create_task(running.call("/staged/x", headers=PIECES))
         await until(lambda: encode.reports >= 5)
         assert len(encode.calls) <= encode.reports + 1
-        vain = len(encode.calls)
-        assert vain <= VAIN_CALLS
+        rejected_calls = len(encode.calls)
+        assert rejected_calls <= MAX_REJECTED_CALLS
         encode.room, encode.free_mb = 100, 10.0
         response = await call
         assert response.status == 200
         await response.read()
 
 
-async def test_a_piece_is_not_sent_again_at_once_whatever_is_reported() -> None:
+async def test_a_rejected_piece_is_not_resent_at_once_despite_reported_free_memory() -> None:
     encode = StandinStageWorker(room=1, free_mb=10.0)
     encode.held.add("of another owner")
     encode.lies_of_room = True
@@ -53,7 +56,7 @@
         await response.read()
 
 
-async def test_a_new_owner_asks_before_anything_was_turned_away() -> None:
+async def test_a_new_owner_requests_a_report_before_the_first_rejection() -> None:
     encode = StandinStageWorker(free_mb=1.0)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -65,7 +68,7 @@
         assert queue.counters.no_room == 0
 
 
-async def test_a_report_that_nobody_can_read_changes_nothing() -> None:
+async def test_an_unreadable_report_changes_nothing() -> None:
     encode = StandinStageWorker(free_mb=float("nan"))
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
