--- a/src/corkcrank/node/engines/__init__.py
+++ b/src/corkcrank/node/engines/__init__.py
@@ -1,5 +1,5 @@
-"""Which engine of a zone reads the next prompt: its owner's grants, and requests for them.
+"""Prefill grants: the owner of a zone's engines chooses which one reads the next prompt.
 
-State: the grants that are not yet done, where this node owns a zone's engines. Called by
-the runs of streams through ``CallServices``, and by peers through membership.
+State: the outstanding grants, where this node owns a zone's engines. Called by stream runs
+through ``CallServices``, and by peers through the peer server of the membership package.
 """
--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -1,4 +1,4 @@
-"""Prefill grants at a zone's engines: made by their owner, asked for by every gateway."""
+"""Prefill grants for a zone's engines: issued by their owner, requested by every gateway."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -31,11 +31,15 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 GRANT_SECONDS = 0.15
-"""Longest wait for the owner's answer; without it the engine chosen before is taken."""
+"""Timeout for the owner's reply; without a reply the engine chosen before is used."""
 
 
 class EngineOwner:
-    """The owner's side. Whoever asks is answered: views of the owner differ for a moment."""
+    """The owner's side of prefill grants.
+
+    It serves every gateway, also where it does not consider itself the owner: gateways may
+    disagree about the owner for a short time.
+    """
 
     def __init__(
         self,
@@ -53,13 +57,13 @@
         self._grants = PrefillGrants(chooser, worker_statistics)
         self._isolation = PrefillIsolation()
         self.use = OwnerUse()
-        """When grants were asked for here."""
+        """When this node last received a request for a grant."""
 
     def grant(self, request: PrefillRequest) -> PrefillGrant:
         """Choose the engine of a zone that reads a prompt next.
 
-        A limited one gets what it takes and no more, however much it would be preferred: a zone
-        whose engines warm up together would be down again at once.
+        A rate-limited engine never gets more than its limit, even if it is preferred: a zone
+        whose engines warm up together would otherwise fail again at once.
         """
         self._statements.apply_reports(request.limits, "asker")
         configuration = self._mirror.configuration
@@ -80,16 +84,16 @@
         waits = {
             engine.worker_id: self._limits.seconds_until_grant(engine, now) for engine in engines
         }
-        taking = [engine for engine in engines if waits[engine.worker_id] <= 0]
-        engine = self._grants.grant(request.call_id, taking, question, capacity, now)
+        available = [engine for engine in engines if waits[engine.worker_id] <= 0]
+        engine = self._grants.grant(request.call_id, available, question, capacity, now)
         if engine is None:
-            held_back = [wait for wait in waits.values() if wait > 0]
-            return PrefillGrant("", bool(held_back), min(held_back, default=0.0))
+            deferred_waits = [wait for wait in waits.values() if wait > 0]
+            return PrefillGrant("", bool(deferred_waits), min(deferred_waits, default=0.0))
         self._limits.record_grant(engine, now)
         return PrefillGrant(engine.worker_id)
 
     def done(self, message: PrefillDone) -> None:
-        """Note that a prompt was read, or will not be."""
+        """Release the grant of a prompt that was read, or that will not be read."""
         granted = self._grants.release_grant(message.call_id)
         if granted is not None and message.read:
             tokens, granted_at = granted
@@ -98,16 +102,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillTurn:
-    """The engine that reads a call's prompt, or in how many seconds one may."""
+    """The engine that reads a call's prompt, or after how many seconds one may be available."""
 
     engine: WorkerRecord | None
     wait: float = 0.0
 
 
 class PrefillGrantClient:
-    """The asker's side, for all calls of this gateway.
+    """The requesting side of prefill grants, for all calls of this gateway.
 
-    ``on_silence`` is called with the name of an owner that did not answer.
+    ``on_silence`` is called with the name of an owner that did not reply.
     """
 
     def __init__(
@@ -132,11 +136,10 @@
         self.on_silence: Callable[[str], None] = lambda owner: None
 
     async def take(self, call: OpaqueCall, chosen: WorkerRecord, *, long: bool) -> PrefillTurn:
-        """Return the engine to send a call to: the owner's choice in the chosen one's zone.
+        """Request a grant in the chosen engine's zone; return the engine to send the call to.
 
-        Without an answer of the owner, or where it names an engine that cannot be used,
-        the chosen one is taken. There is none where the zone's engines are limited and have been
-        given what they take.
+        The chosen engine is used if the owner does not reply or names an engine that cannot be
+        used. No engine is returned if the zone's engines are limited and at their limits.
         """
         now = clock.now()
         limited = self._limits.limited(
@@ -150,10 +153,10 @@
             excluded=tuple(call.workers_tried),
             long=long,
             repeatable=call.route.idempotent,
-            limits=self._told(limited, now),
+            limits=self._reports_for_owner(limited, now),
         )
         owner = self._fleet.zone_owner(chosen.zone, call.service, now)
-        grant = await self._ask(owner, request)
+        grant = await self._ask_owner(owner, request)
         engine = self._mirror.workers.get(grant.worker_id) if grant is not None else None
         self._log.write(
             LogEvent.ENGINE_GRANTED,
@@ -170,15 +173,17 @@
         return PrefillTurn(self.take_ungranted(chosen), GRANT_SECONDS)
 
     def take_ungranted(self, engine: WorkerRecord) -> WorkerRecord | None:
-        """Return an engine that no owner granted, unless it is limited and not due now."""
+        """Record a send to an engine without a grant; return None if its limit forbids it now."""
         now = clock.now()
         if not self._limits.may_send(engine, now):
             return None
         self._limits.record_sent(engine, now)
         return engine
 
-    def _told(self, engines: Collection[WorkerRecord], now: float) -> tuple[ReportedLimit, ...]:
-        """Return what the owner of some limited engines is told of them."""
+    def _reports_for_owner(
+        self, engines: Collection[WorkerRecord], now: float
+    ) -> tuple[ReportedLimit, ...]:
+        """Return the rate limits of some engines, to be reported to their owner."""
         if not engines:
             return ()
         return self._statements.limits.reports_for_peers(
@@ -186,7 +191,7 @@
         )
 
     def done(self, call: OpaqueCall, *, read: bool = False) -> None:
-        """Tell the owner, once, that a call's prompt was read or will not be."""
+        """Report to the owner, once, that a call's prompt was read or will not be."""
         owner = self._owners.pop(call.call_id, None)
         if owner is None:
             return
@@ -196,14 +201,14 @@
             self._engine_owner.done(message)
             return
         data = msgspec.msgpack.encode(message)
-        telling = self._peers.ask(
+        sending = self._peers.ask(
             member.heartbeat.address, PREFILL_DONE_PATH, data, seconds=GRANT_SECONDS, repeat=True
         )
-        task = asyncio.create_task(telling)
+        task = asyncio.create_task(sending)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, owner: str, request: PrefillRequest) -> PrefillGrant | None:
+    async def _ask_owner(self, owner: str, request: PrefillRequest) -> PrefillGrant | None:
         self._owners[request.call_id] = owner
         member = self._fleet.member(owner)
         if owner == self._fleet.own_name or member is None:
--- a/src/corkcrank/node/membership/__init__.py
+++ b/src/corkcrank/node/membership/__init__.py
@@ -1,6 +1,6 @@
-"""What nodes tell each other of themselves: heartbeats, and the server that peers ask.
+"""Heartbeats between nodes, pulls from peers, and the server for peers' requests.
 
-State: when which peer was told and heard; the members themselves are in
+State: what is pending for sending or pulling; the members themselves are in
 :mod:`corkcrank.machines.fleet`. Called by the process; it hands peers' requests to the
 owners of stages and engines.
 """
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Sends and takes heartbeats."""
+"""Sends heartbeats to the other gateways and applies the ones received from them."""
 
 import asyncio
 import random
@@ -30,35 +30,39 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 INCARNATION_BITS = 32
-"""Size of the random number that tells a process from the one before it at its address."""
+"""Size of the random number that distinguishes a process from its predecessor at its address."""
 
 BEAT_SPREAD = (0.9, 1.1)
-"""Bounds of the random factor of the time between heartbeats: members do not fall into step."""
+"""Bounds of the random factor of the heartbeat interval: keeps members from synchronizing."""
 
 URGENT_SPREAD_SECONDS = 0.1
-"""Shortest time over which the whole fleet is told that this gateway starts or stops."""
+"""Minimum time over which the start or stop of this gateway is sent to the whole fleet."""
 
 URGENT_BYTES_A_SECOND = 100_000.0
-"""Most bytes that are sent for it: the links of small machines are slow."""
+"""Maximum send rate for a start or stop: the links of small machines are slow."""
 
 NEWS_MEMBERS = 8
-"""Members that news is passed on to by each that hears it first."""
+"""Members to which each member forwards an update that is new to it."""
 
 NEWS_BYTES_A_SECOND = 12_000.0
-"""Most bytes of news that are passed on; what comes meanwhile goes together."""
+"""Maximum send rate for forwarded updates; updates that arrive meanwhile are sent together."""
 
 NEWS_PAUSE_SECONDS = 0.05
-"""Shortest time between two times that news is passed on."""
+"""Minimum time between two forwardings."""
 
 LEAST_SUSPENSION_SECONDS = RUN_NOTE_SECONDS
-"""A shorter difference of the two clocks between two notes is none that matters."""
+"""Smaller differences between the two clocks from one check to the next are ignored."""
 
 MAXIMUM_CALL_LOADS = 128
-"""Workers whose calls in flight one heartbeat tells."""
+"""Workers whose calls in flight one heartbeat reports."""
 
 
 class HeartbeatLoop:
-    """Keeps the fleet's view fresh in both directions."""
+    """Reports this gateway's state to the fleet and applies what the others report.
+
+    ``on_behind`` is called when a member has a newer configuration, ``on_suspended`` with the
+    seconds for which the machine was suspended.
+    """
 
     def __init__(
         self,
@@ -91,11 +95,11 @@
         self._random = random_source
         self._loads = PeerLoads(worker_statistics)
         self._incarnation = random_source.getrandbits(INCARNATION_BITS)
-        self._link = DatagramLink(self._take)
+        self._link = DatagramLink(self._receive)
         self.on_behind: Callable[[], None] = lambda: None
-        self._urgent = asyncio.Event()
+        self._urgent_requested = asyncio.Event()
         self.on_suspended: Callable[[float], None] = lambda seconds: None
-        self._news = asyncio.Event()
+        self._forwarding_requested = asyncio.Event()
 
     async def open(self) -> None:
         """Bind the datagram address."""
@@ -106,7 +110,7 @@
         self._link.close()
 
     async def beat(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until cancelled."""
         while True:
             now = clock.now()
             self._fleet.owns = self._stage_owner.backlog.use.lately(
@@ -114,11 +118,11 @@
             ) or self._engine_owner.use.lately(now)
             audience = self._fleet.audience(now)
             seconds = self._fleet.interval() * self._random.uniform(*BEAT_SPREAD)
-            await send_spread(self._link, self._encoded, audience, seconds)
-            self._forget_silent()
+            await send_spread(self._link, self._encode_heartbeat, audience, seconds)
+            self._discard_suspected_peers()
 
     async def note_running(self) -> None:
-        """Note for ever that this process runs, so that its own pauses are known."""
+        """Record periodically that this process runs, to detect its own pauses and suspensions."""
         meter = clock.SuspensionMeter()
         while True:
             paused = self._fleet.note_running(clock.now())
@@ -130,54 +134,54 @@
             await asyncio.sleep(RUN_NOTE_SECONDS)
 
     def tell_soon(self) -> None:
-        """Have everybody told at once, beside the heartbeats that are due."""
-        self._urgent.set()
+        """Request an immediate heartbeat to all members, beside the scheduled ones."""
+        self._urgent_requested.set()
 
     async def tell(self) -> None:
-        """Send what everybody must know of this gateway, for ever."""
+        """Send the requested immediate heartbeats to all members, until cancelled."""
         while True:
-            await self._urgent.wait()
-            self._urgent.clear()
+            await self._urgent_requested.wait()
+            self._urgent_requested.clear()
             audience = self._fleet.audience(clock.now())
-            whole = len(audience) * self._fleet.heartbeat_bytes
-            seconds = max(URGENT_SPREAD_SECONDS, whole / URGENT_BYTES_A_SECOND)
-            await send_spread(self._link, self._encoded, audience, seconds)
+            total_bytes = len(audience) * self._fleet.heartbeat_bytes
+            seconds = max(URGENT_SPREAD_SECONDS, total_bytes / URGENT_BYTES_A_SECOND)
+            await send_spread(self._link, self._encode_heartbeat, audience, seconds)
 
     def pass_on_soon(self) -> None:
-        """Have some members told news of the store, which pass it on in turn."""
-        self._news.set()
+        """Request that an update is sent to some members, which forward it to others."""
+        self._forwarding_requested.set()
 
     async def pass_on(self) -> None:
-        """Pass news on, for ever, within a bound of bytes.
+        """Forward updates until cancelled, within a limit on the send rate.
 
-        A member that hears something first tells it to a few others at random, so news
-        reaches nearly all within a few steps, whatever the fleet's size, and costs each the
-        same. Heartbeats, which all tell the newest state, reach the rest.
+        A member that receives an update for the first time forwards it to a few random others.
+        The update reaches nearly all members within a few steps at any fleet size, and the cost
+        per member is the same. Heartbeats, which carry the newest state, reach the rest.
         """
         while True:
-            await self._news.wait()
-            self._news.clear()
+            await self._forwarding_requested.wait()
+            self._forwarding_requested.clear()
             audience = self._fleet.audience(clock.now())
             chosen = self._random.sample(audience, min(NEWS_MEMBERS, len(audience)))
-            data = self._encoded()
+            data = self._encode_heartbeat()
             for address in chosen:
                 self._link.send(data, address)
-            spent = len(chosen) * len(data) / NEWS_BYTES_A_SECOND
-            await asyncio.sleep(max(NEWS_PAUSE_SECONDS, spent))
+            send_seconds = len(chosen) * len(data) / NEWS_BYTES_A_SECOND
+            await asyncio.sleep(max(NEWS_PAUSE_SECONDS, send_seconds))
 
     def probe(self, name: str) -> None:
-        """Ask a member that this one waits for to show that it lives, unless it just did."""
+        """Send a probe to a member that this one waits for, unless it sent something just now."""
         address = self._fleet.probe(name, clock.now())
         if address is not None:
-            heartbeat = self._heartbeat(clock.now())
+            heartbeat = self._build_heartbeat(clock.now())
             self._link.send(encode_heartbeat(replace(heartbeat, probe=True)), address)
 
-    def _encoded(self) -> bytes:
-        data = encode_heartbeat(self._heartbeat(clock.now()))
+    def _encode_heartbeat(self) -> bytes:
+        data = encode_heartbeat(self._build_heartbeat(clock.now()))
         self._fleet.note_heartbeat(len(data))
         return data
 
-    def _heartbeat(self, now: float) -> Heartbeat:
+    def _build_heartbeat(self, now: float) -> Heartbeat:
         calls = [
             CallLoad(worker_id, statistics.in_flight, statistics.reading)
             for worker_id, statistics in self._worker_statistics.items()
@@ -212,20 +216,20 @@
         )
 
     def _store_contact(self, table: StoreTable, now: float) -> ReportedStoreContact:
-        """Return the newest contact with the store, this member's or one that it was told."""
+        """Return the newest contact with the store, this member's or one reported by a peer."""
         own = self._mirror.contacts.get(table, StoreContact())
         return newest_contact(own, self._fleet.store_contact(table)).reported(now)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         heartbeat = decode_heartbeat(data)
         if heartbeat is None:
             return
         now = clock.now()
         if heartbeat.probe:
-            self._link.send(self._encoded(), heartbeat.address)
+            self._link.send(self._encode_heartbeat(), heartbeat.address)
         before = self._fleet.member(heartbeat.name)
         if self._fleet.hear(heartbeat, now):
-            self._note_restarted(before)
+            self._record_restart(before)
             self._log.write(
                 LogEvent.MEMBER_JOINED,
                 member=heartbeat.name,
@@ -233,7 +237,7 @@
                 version=heartbeat.configuration_version,
             )
         if heartbeat.worker_changes is not None:
-            self._take_worker_changes(heartbeat.worker_changes, heartbeat.name, now)
+            self._apply_worker_changes(heartbeat.worker_changes, heartbeat.name, now)
         if self._mirror.take_zone_states(heartbeat.zone_states, f"peer {heartbeat.name}"):
             self.pass_on_soon()
         self._loads.apply_peer_report(heartbeat.name, heartbeat.call_loads)
@@ -245,22 +249,22 @@
         if heartbeat.configuration_version > self._mirror.version:
             self.on_behind()
         for prefix in heartbeat.prefixes:
-            self._take_prefix(prefix, now)
+            self._apply_prefix(prefix, now)
 
-    def _note_restarted(self, before: Member | None) -> None:
-        """Take that a member has started anew; unless it had left, it ended without a word."""
+    def _record_restart(self, before: Member | None) -> None:
+        """Record that a member was restarted: without a leave message before, it had crashed."""
         if before is not None and before.heartbeat.phase != Phase.LEAVING:
             self._crash_watch.record_member_unreachable(before.heartbeat.name, before.heard_at)
 
-    def _take_worker_changes(self, batch: WorkerChangeBatch, name: str, now: float) -> None:
+    def _apply_worker_changes(self, batch: WorkerChangeBatch, name: str, now: float) -> None:
         if not self._mirror.take_changes(batch, f"peer {name}"):
             return
-        # Only what is known whole is passed on: the next one may take it for all changes.
+        # Incomplete changes are not forwarded: the next member may take them as all changes.
         if self._mirror.workers.revision >= batch.revision:
             self._mirror.recent_changes.add(batch, now)
             self.pass_on_soon()
 
-    def _take_prefix(self, prefix: SentPrefix, now: float) -> None:
+    def _apply_prefix(self, prefix: SentPrefix, now: float) -> None:
         worker = self._mirror.workers.get(prefix.worker_id)
         if worker is None:
             return
@@ -270,7 +274,7 @@
         parts = [PrefixPart(part_id, tokens) for part_id, tokens in prefix.parts]
         self._engines.record_sent(prefix.worker_id, profile.engine.cache_tokens, parts, now)
 
-    def _forget_silent(self) -> None:
+    def _discard_suspected_peers(self) -> None:
         now = clock.now()
         for name in self._loads.peers():
             if self._fleet.suspected(name, now):
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -1,4 +1,4 @@
-"""Pulls from peers what they have newer, and once after a start what they know of ended workers."""
+"""Pulls newer configurations and worker lists from peers, and crash reports after a start."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,20 +25,20 @@
 from corkcrank.node.workers.crash_watch import CrashWatch
 
 PULL_SECONDS = 0.2
-"""Time between looks at whether a peer has something newer."""
+"""Time between checks for newer state at a peer."""
 
 CONFIGURATION_LAG_SECONDS = 0.15
-"""A gateway that follows the store gives it this long before it asks a peer."""
+"""A gateway that follows the store waits this long for it before it asks a peer."""
 
 WORKERS_LAG_SECONDS = 0.8
-"""A newer list of workers is pulled if its changes were not told by then."""
+"""A newer list of workers is pulled if its changes did not arrive in heartbeats by then."""
 
 CRASH_HISTORY_MEMBERS = 2
 """Members that a gateway asks after its start: one may have been cut off, or just started."""
 
 
 class PeerPulls:
-    """Asks members for what this gateway lacks; ``on_adopted`` is called with a configuration."""
+    """Requests missing state from members; ``on_adopted`` is called after a new configuration."""
 
     def __init__(
         self,
@@ -55,15 +55,15 @@
         self._log = log
         self._behind_since: dict[StoreTable, float] = {}
         self._behind = asyncio.Event()
-        self._asked_for_crashes: set[str] = set()
+        self._members_asked_for_crashes: set[str] = set()
         self.on_adopted: Callable[[], None] = lambda: None
 
     def look_soon(self) -> None:
-        """Look at once whether a peer has something newer."""
+        """Request an immediate check for newer state at a peer."""
         self._behind.set()
 
     async def pull(self) -> None:
-        """Pull what peers have newer, for ever."""
+        """Pull newer state from peers until cancelled."""
         while True:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._behind.wait(), PULL_SECONDS)
@@ -73,7 +73,7 @@
             await self._pull_workers(now)
             await self._pull_crashes(now)
 
-    def _lags(self, table: StoreTable, ahead: Member | None, limit: float, now: float) -> bool:
+    def _lags_for(self, table: StoreTable, ahead: Member | None, limit: float, now: float) -> bool:
         """Return whether some peer has been ahead of this gateway for ``limit`` seconds."""
         if ahead is None:
             self._behind_since.pop(table, None)
@@ -82,14 +82,14 @@
 
     async def _pull_configuration(self, now: float) -> None:
         member = self._fleet.ahead_in_configuration(self._mirror.version, now)
-        follows = self._mirror.version and self._mirror.is_follower(StoreTable.CONFIGURATION)
-        limit = CONFIGURATION_LAG_SECONDS if follows else 0.0
-        if not self._lags(StoreTable.CONFIGURATION, member, limit, now) or member is None:
+        is_follower = self._mirror.version and self._mirror.is_follower(StoreTable.CONFIGURATION)
+        limit = CONFIGURATION_LAG_SECONDS if is_follower else 0.0
+        if not self._lags_for(StoreTable.CONFIGURATION, member, limit, now) or member is None:
             return
         body = await self._peers.ask(member.heartbeat.address, CONFIGURATION_PATH, repeat=True)
         answer = read_answer(body, ConfigurationAnswer)
         if isinstance(answer, PeerTrouble):
-            self._note_trouble(member, answer)
+            self._record_failure(member, answer)
             return
         if answer.configuration is not None:
             adopted = self._mirror.adopt(answer.configuration, f"peer {member.heartbeat.name}")
@@ -99,13 +99,13 @@
     async def _pull_workers(self, now: float) -> None:
         member = self._fleet.ahead_in_workers(self._mirror.workers.revision, now)
         limit = WORKERS_LAG_SECONDS if self._mirror.workers_known else 0.0
-        if not self._lags(StoreTable.WORKERS, member, limit, now) or member is None:
+        if not self._lags_for(StoreTable.WORKERS, member, limit, now) or member is None:
             return
         question = msgspec.msgpack.encode(WorkersQuestion(self._mirror.workers.revision))
         body = await self._peers.ask(member.heartbeat.address, WORKERS_PATH, question, repeat=True)
         answer = read_answer(body, WorkersAnswer)
         if isinstance(answer, PeerTrouble):
-            self._note_trouble(member, answer)
+            self._record_failure(member, answer)
             return
         source = f"peer {member.heartbeat.name}"
         if answer.changes is not None:
@@ -114,22 +114,23 @@
             self._mirror.take_workers(answer.records, answer.revision, source)
 
     async def _pull_crashes(self, now: float) -> None:
-        """Ask the first members that are heard for all that they know of ended workers.
+        """Request all crash reports from the first live members.
 
-        Heartbeats tell of old ends in turn: whoever starts would know some of them for minutes.
+        Heartbeats report old crashes in round-robin order: a gateway that has just started would
+        know only some of them for minutes.
         """
-        if len(self._asked_for_crashes) >= CRASH_HISTORY_MEMBERS:
+        if len(self._members_asked_for_crashes) >= CRASH_HISTORY_MEMBERS:
             return
         live = self._fleet.live(now)
-        new = [item for item in live if item.heartbeat.name not in self._asked_for_crashes]
-        for member in new[: CRASH_HISTORY_MEMBERS - len(self._asked_for_crashes)]:
+        new = [item for item in live if item.heartbeat.name not in self._members_asked_for_crashes]
+        for member in new[: CRASH_HISTORY_MEMBERS - len(self._members_asked_for_crashes)]:
             body = await self._peers.ask(member.heartbeat.address, CRASHES_PATH, repeat=True)
-            self._asked_for_crashes.add(member.heartbeat.name)
+            self._members_asked_for_crashes.add(member.heartbeat.name)
             answer = read_answer(body, CrashesAnswer)
             if isinstance(answer, PeerTrouble):
-                self._note_trouble(member, answer)
+                self._record_failure(member, answer)
                 continue
             self._crash_watch.apply_reports(answer.reports, member.heartbeat.name)
 
-    def _note_trouble(self, member: Member, trouble: PeerTrouble) -> None:
-        self._log.write(LogEvent.PULL_FAILED, member=member.heartbeat.name, detail=trouble.value)
+    def _record_failure(self, member: Member, failure: PeerTrouble) -> None:
+        self._log.write(LogEvent.PULL_FAILED, member=member.heartbeat.name, detail=failure.value)
--- a/src/corkcrank/node/membership/peer_server.py
+++ b/src/corkcrank/node/membership/peer_server.py
@@ -1,4 +1,4 @@
-"""What peers ask of this gateway, and where operators find metrics and the state dump."""
+"""HTTP server for peers' requests, and for the metrics and the state dump that operators read."""
 
 import asyncio
 from collections.abc import Callable
@@ -55,12 +55,12 @@
 METRICS_PATH = "/metrics"
 DUMP_PATH = "/dump"
 PEER_SHUTDOWN_SECONDS = 0.05
-"""Time that peers' requests have to end at a stop; the library waits twice for so long. Their
-pieces were given back before (``PIECES_RESERVE_SECONDS`` of the drain)."""
+"""Time for peers' requests to complete at a stop; the library waits twice as long. Their pieces
+were returned before (``PIECES_RESERVE_SECONDS`` of the drain)."""
 
 
 class PeerServer:
-    """Serves peers on one address, metrics and dump on the same."""
+    """Serves peers' requests, metrics and the state dump on the same addresses."""
 
     def __init__(
         self,
@@ -120,38 +120,38 @@
         except msgspec.DecodeError as error:
             return web.Response(status=HTTPStatus.BAD_REQUEST, text=str(error))
         except ConnectionError:
-            # Nobody reads this answer; the library would log the error as a fault.
+            # The peer has disconnected; the library would log the error as a fault.
             return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE)
 
     async def _pieces(self, request: web.BaseRequest) -> web.StreamResponse:
         work = msgspec.msgpack.decode(await self._read(request), type=StageWork)
-        _check_asker(request)
-        making = asyncio.create_task(self._stage_owner.make(work))
+        _check_still_connected(request)
+        running = asyncio.create_task(self._stage_owner.make(work))
         try:
-            response = await _answer_when_made(request, making)
+            response = await _answer_when_done(request, running)
         except (ConnectionError, asyncio.CancelledError):
-            self._give_up(making)
+            self._abandon(running)
             raise
-        answer = making.result()
-        if closed_by_peer(request.transport) or not self._still_asked(work, answer):
+        answer = running.result()
+        if closed_by_peer(request.transport) or not self._record_still_wanted(work, answer):
             self._free_all(answer)
         return response
 
-    def _still_asked(self, work: StageWork, answer: StageAnswer) -> bool:
-        """Return whether the asker has not taken its question back."""
+    def _record_still_wanted(self, work: StageWork, answer: StageAnswer) -> bool:
+        """Record an answer as sent; return whether its requester has not withdrawn the work."""
         if not work.question:
             return True
         return self._recent_answers.note_answered(work.question, answer, clock.now())
 
-    def _give_up(self, making: asyncio.Task[StageAnswer]) -> None:
-        """Withdraw pieces whose asker has gone, or free their results."""
-        if not making.done():
-            making.cancel()
-        elif not making.cancelled() and making.exception() is None:
-            self._free_all(making.result())
+    def _abandon(self, running: asyncio.Task[StageAnswer]) -> None:
+        """Cancel pieces whose requester has disconnected, or free their results."""
+        if not running.done():
+            running.cancel()
+        elif not running.cancelled() and running.exception() is None:
+            self._free_all(running.result())
 
     def _free_all(self, answer: StageAnswer) -> None:
-        """Free the results of an answer that its asker will not read."""
+        """Free the results of an answer that its requester will not read."""
         for result in answer.results:
             if result.handle:
                 self._stage_owner.free(result.worker_id, (result.handle,))
@@ -162,7 +162,7 @@
         return web.Response()
 
     async def _withdraw(self, request: web.BaseRequest) -> web.Response:
-        """Free the results of an answer that was on its way when its asker gave up."""
+        """Free the results of an answer that was in transit when its work was withdrawn."""
         message = msgspec.msgpack.decode(await self._read(request), type=WithdrawnQuestion)
         answer = self._recent_answers.take_back(message.question, clock.now())
         if answer is not None:
@@ -171,7 +171,7 @@
 
     async def _prefill_request(self, request: web.BaseRequest) -> web.Response:
         message = msgspec.msgpack.decode(await self._read(request), type=PrefillRequest)
-        _check_asker(request)
+        _check_still_connected(request)
         return web.Response(body=msgspec.msgpack.encode(self._engine_owner.grant(message)))
 
     async def _prefill_done(self, request: web.BaseRequest) -> web.Response:
@@ -180,11 +180,11 @@
 
     async def _limit_grant(self, request: web.BaseRequest) -> web.Response:
         message = msgspec.msgpack.decode(await self._read(request), type=LimitGrantRequest)
-        _check_asker(request)
+        _check_still_connected(request)
         return web.Response(body=msgspec.msgpack.encode(self._limit_owner.grant_request(message)))
 
     async def _read(self, request: web.BaseRequest) -> bytes:
-        """Return a whole message; a connection that falls silent within one is dropped."""
+        """Return a complete message; drop a connection that falls silent within one."""
         try:
             async with asyncio.timeout(PEER_SILENCE_SECONDS):
                 return await request.read()
@@ -228,35 +228,35 @@
         return web.Response(body=body, content_type="application/json")
 
 
-def _check_asker(request: web.BaseRequest) -> None:
-    """Do nothing for a gateway that has taken its question back before it was read."""
+def _check_still_connected(request: web.BaseRequest) -> None:
+    """Raise if the requester closed its connection before its request was read."""
     if closed_by_peer(request.transport):
-        raise ConnectionResetError("the asker has closed its connection")
+        raise ConnectionResetError("peer closed its connection before its request was handled")
 
 
-async def _answer_when_made(
-    request: web.BaseRequest, making: asyncio.Task[StageAnswer]
+async def _answer_when_done(
+    request: web.BaseRequest, running: asyncio.Task[StageAnswer]
 ) -> web.StreamResponse:
-    """Answer with the results; until they are made, show that the connection works."""
-    if await _done(making):
-        return web.Response(body=msgspec.msgpack.encode(making.result()))
+    """Answer with the results; until they are ready, send progress bytes on the connection."""
+    if await _done_within_interval(running):
+        return web.Response(body=msgspec.msgpack.encode(running.result()))
     response = web.StreamResponse()
     await response.prepare(request)
-    while not await _done(making):
+    while not await _done_within_interval(running):
         await response.write(PROGRESS_BYTE)
-    await response.write(msgspec.msgpack.encode(making.result()))
+    await response.write(msgspec.msgpack.encode(running.result()))
     await response.write_eof()
     return response
 
 
-async def _done(task: asyncio.Task[StageAnswer]) -> bool:
-    """Wait for a task for as long as a connection may be without a byte."""
+async def _done_within_interval(task: asyncio.Task[StageAnswer]) -> bool:
+    """Wait up to one progress interval for a task; return whether it is done."""
     done, _ = await asyncio.wait({task}, timeout=PEER_PROGRESS_SECONDS)
     return bool(done)
 
 
 async def serve_readiness(address: str, path: str, ready: Callable[[], bool]) -> web.ServerRunner:
-    """Answer the balancer's question on ``ip:port`` until the runner is cleaned up."""
+    """Serve the load balancer's health check on ``ip:port`` until the runner is cleaned up."""
 
     async def answer(request: web.BaseRequest) -> web.Response:
         if request.path != path:
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -1,7 +1,8 @@
-"""Quarantined requests as rows of the store, which outlast all gateways.
+"""Stores quarantined requests as rows of the store, so that they survive all gateways.
 
-Gateways tell each other of quarantines, so one that starts alone hears of them. Where all have
-ended at once only the store knows: without it each request would crash as many workers again.
+Gateways report quarantines to each other, so a single one that restarts receives them. After all
+have stopped at once only the store has them: without its rows each quarantined request would
+crash as many workers again.
 """
 
 import asyncio
@@ -26,31 +27,31 @@
 from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash
 
 READ_DELAY_SECONDS = 0.5
-"""Time from serving to the read: two heartbeats of a small fleet, by which a gateway knows whether
-others serve, and whether it is one of those that read the store."""
+"""Delay of the read after serving begins: two heartbeats of a small fleet, after which a gateway
+knows whether others serve, and whether it is one of those that read the store."""
 
 WRITE_SECONDS = 0.5
-"""Time between looks at what is to be written: a sixth of the shortest time by which all gateways
-have to act on an end (3 s)."""
+"""Time between checks for rows to write: a sixth of the shortest time within which all gateways
+have to act on a crash (3 s)."""
 
 RETRY_SECONDS = 1.0
-"""Pause after a call that failed."""
+"""Delay after a failed call to the store."""
 
 MOST_WRITES = 4
-"""Rows written or removed at a time."""
+"""Maximum rows written, and maximum rows removed, in one pass."""
 
 
 class _SuspectRow(msgspec.Struct, frozen=True, array_like=True):
-    """A request that a worker had at its end, by its fingerprint."""
+    """A request that a worker was processing when it crashed, by its fingerprint."""
 
     request: str
     progressed: bool = False
 
 
-class _EndRow(msgspec.Struct, frozen=True):
-    """A worker that ended; ``at`` is on the store's steady clock, in seconds.
+class _CrashRow(msgspec.Struct, frozen=True):
+    """A worker's crash; ``at`` is on the store's steady clock, in seconds.
 
-    The requests that have ended well since are left out.
+    Requests that have completed successfully since are left out.
     """
 
     worker_id: str
@@ -62,20 +63,20 @@
 class _QuarantineRow(msgspec.Struct, frozen=True):
     """The value of a row; its key is the request's fingerprint.
 
-    Each end is told with all its suspects: without them whoever reads it after a start would blame
-    a request for what its neighbours explain as well.
+    Each crash is stored with all its suspects: without them a gateway that reads the row after a
+    start would blame this request for crashes that the other requests explain as well.
     """
 
-    ends: tuple[_EndRow, ...]
+    ends: tuple[_CrashRow, ...]
 
     @property
     def size(self) -> int:
-        """Return how much evidence the row holds; it grows with each end and each suspect."""
+        """Return how much evidence the row holds; it grows with each crash and each suspect."""
         return sum(len(end.suspects) for end in self.ends)
 
 
 class QuarantineRows:
-    """Reads quarantines once after a start, and writes those that this gateway answers for."""
+    """Reads quarantines once after a start, and writes those that this gateway owns."""
 
     def __init__(
         self,
@@ -94,10 +95,10 @@
         self._quarantine = crash_watch.quarantine
         self._log = log
         self._written: dict[str, int] = {}
-        """Rows known to be there, with the size of each."""
+        """Rows known to be in the store, with the size of each."""
 
     async def keep(self) -> None:
-        """Keep the rows for ever."""
+        """Read the rows once, then keep them up to date until cancelled."""
         while self._fleet.own_phase != Phase.SERVING:
             await asyncio.sleep(READ_DELAY_SECONDS)
         await asyncio.sleep(READ_DELAY_SECONDS)
@@ -109,15 +110,17 @@
     async def _read(self) -> None:
         while isinstance(rows := await self._store.read(StoreTable.QUARANTINE), StoreFailure):
             await asyncio.sleep(RETRY_SECONDS)
-        reports = [report for row in rows.rows for report in self._reports(row, rows.store_time)]
+        reports = [
+            report for row in rows.rows for report in self._decode_reports(row, rows.store_time)
+        ]
         self._crash_watch.apply_reports(reports, "store")
 
-    def _reports(self, row: StoreRow, store_time: float) -> list[CrashReport]:
+    def _decode_reports(self, row: StoreRow, store_time: float) -> list[CrashReport]:
         if not isinstance(row.value, bytes):
             return []
         try:
             value = msgspec.json.decode(row.value, type=_QuarantineRow)
-            reports = [_report(end, store_time) for end in value.ends]
+            reports = [_crash_report(end, store_time) for end in value.ends]
         except (msgspec.DecodeError, ValueError) as error:
             self._log.write(
                 LogEvent.DOCUMENT_UNREADABLE, kind="quarantine", key=row.key, detail=str(error)
@@ -127,22 +130,22 @@
         return reports
 
     async def _write(self) -> bool:
-        """Write what has changed; return whether the store took all of it."""
-        for request, row in self._to_write()[:MOST_WRITES]:
+        """Write and remove changed rows; return whether the store accepted every change."""
+        for request, row in self._rows_to_write()[:MOST_WRITES]:
             data = msgspec.json.encode(row)
             if isinstance(
                 await self._store.put(StoreTable.QUARANTINE, request, data), StoreFailure
             ):
                 return False
             self._written[request] = row.size
-        for request in self._to_remove()[:MOST_WRITES]:
+        for request in self._rows_to_remove()[:MOST_WRITES]:
             if isinstance(await self._store.remove(StoreTable.QUARANTINE, request), StoreFailure):
                 return False
             self._written.pop(request, None)
         return True
 
-    def _to_remove(self) -> list[str]:
-        """Return the rows of requests that are not to blame; what was just read is judged first."""
+    def _rows_to_remove(self) -> list[str]:
+        """Return the rows of requests that are not blamed; undecided ones keep their rows."""
         now = clock.now()
         blamed = self._quarantine.verdicts(now)
         return [
@@ -151,8 +154,8 @@
             if request not in blamed and not self._quarantine.is_undecided(request, now)
         ]
 
-    def _to_write(self) -> list[tuple[str, _QuarantineRow]]:
-        """Return the quarantined requests whose rows are this gateway's to write."""
+    def _rows_to_write(self) -> list[tuple[str, _QuarantineRow]]:
+        """Return the rows that this gateway owns and that differ from those in the store."""
         now = clock.now()
         own = self._mirror.contacts.get(StoreTable.WORKERS, StoreContact())
         contact = newest_contact(own, self._fleet.store_contact(StoreTable.WORKERS))
@@ -167,19 +170,19 @@
         return [(key, row) for key, row in rows if row.size != self._written.get(key)]
 
     def _row(self, request: str, offset: float) -> _QuarantineRow:
-        """Return the row of a request; ``offset`` is from the own clock to the store's."""
+        """Return the row of a request; ``offset`` is from the local clock to the store's."""
         ends = self._quarantine.records.suspected_crashes(request)
-        return _QuarantineRow(tuple(_end_row(record, offset) for record in ends))
+        return _QuarantineRow(tuple(_crash_row(record, offset) for record in ends))
 
 
-def _end_row(record: CrashRecord, offset: float) -> _EndRow:
+def _crash_row(record: CrashRecord, offset: float) -> _CrashRow:
     suspects = tuple(
         _SuspectRow(request, record.requests[request].progressed) for request in record.suspects()
     )
-    return _EndRow(record.worker_id, round(record.at + offset, 3), suspects, record.incomplete)
+    return _CrashRow(record.worker_id, round(record.at + offset, 3), suspects, record.incomplete)
 
 
-def _report(end: _EndRow, store_time: float) -> CrashReport:
+def _crash_report(end: _CrashRow, store_time: float) -> CrashReport:
     items = [RequestAtCrash(suspect.request, suspect.progressed) for suspect in end.suspects]
     age = max(0.0, store_time - end.at)
     return CrashReport.from_requests(end.worker_id, age, items, incomplete=end.incomplete)
--- a/src/corkcrank/node/peers/__init__.py
+++ b/src/corkcrank/node/peers/__init__.py
@@ -1,5 +1,5 @@
-"""Messages between nodes, and the client that asks other nodes.
+"""Messages between nodes, and the HTTP client for requests to other nodes.
 
-State: kept connections to peers. Calls nothing of the node; called by the owners of stages
-and engines, the dispatch of stages, and membership.
+State: persistent connections to peers. Calls no other package of the node; called by the owners
+of stages and engines, the dispatch of stages, and membership.
 """
--- a/src/corkcrank/node/peers/peer_client.py
+++ b/src/corkcrank/node/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Questions to other gateways on kept connections, each bounded against silence."""
+"""Sends requests to other gateways on persistent connections, each with a silence timeout."""
 
 from enum import StrEnum
 from http import HTTPStatus
@@ -18,21 +18,21 @@
 from corkcrank.machines.members import PROBE_PATIENCE_SECONDS, PROBED_AFTER_SECONDS
 
 PEER_CONNECT_SECONDS = 0.3
-"""Longest wait for a connection to a peer."""
+"""Timeout for connecting to a peer."""
 
 PEER_SILENCE_SECONDS = PROBED_AFTER_SECONDS + PROBE_PATIENCE_SECONDS
-"""A connection without a byte of an expected answer is given up after this time in seconds:
-the one after which a member is suspected that is waited for and does not answer probes."""
+"""A connection is dropped if no byte of an expected answer arrives for this time: the time after
+which a member that is waited for and does not answer probes is suspected."""
 
 PEER_PROGRESS_SECONDS = PEER_SILENCE_SECONDS / 4
-"""While an answer is not ready, its connection carries a byte this often, in seconds: three
-may be late, as heartbeats may, before the connection is given up."""
+"""Interval of progress bytes on a connection while its answer is not ready: 3 may be late, as
+heartbeats may, before the connection is dropped."""
 
 PROGRESS_BYTE = b"\xc0"
-"""Sent before an answer that is not ready: a MessagePack nil, which begins no answer."""
+"""Sent while an answer is not ready: a MessagePack nil, with which no answer begins."""
 
 KEPT_IDLE_SECONDS = 30.0
-"""A connection to a peer that was idle for longer is not used again."""
+"""A connection to a peer is not reused after it was idle for longer than this."""
 
 
 class PeerTrouble(StrEnum):
@@ -41,17 +41,18 @@
     SILENT = "silent"
     BROKEN = "broken"
     UNREADABLE = "unreadable"
-    """A whole answer came that is no message of its kind."""
+    """The answer was complete but could not be decoded as the expected message."""
 
 
 _AnswerT = TypeVar("_AnswerT")
 
 
 def read_answer(body: bytes | PeerTrouble, answer_type: type[_AnswerT]) -> _AnswerT | PeerTrouble:
-    """Return the message that a peer answered with, or why there is none.
+    """Decode a peer's answer; return the message, or why there is none.
 
-    Gateways of two releases, or a process that took a member's address, may answer with
-    something else. Such a body would end the loop that pulls news, or the call that asked.
+    Gateways of different releases, or another process at a member's address, may answer with
+    something else. A decoding error would end the loop that pulls updates, or the call that
+    sent the request.
     """
     if isinstance(body, PeerTrouble):
         return body
@@ -62,7 +63,7 @@
 
 
 class PeerClient:
-    """Asks peers; nothing is sent a second time unless the caller says that it may be."""
+    """Sends requests to peers; retries one only if its caller allows that."""
 
     def __init__(self, on_silence: SilenceListener) -> None:
         self._on_silence = on_silence
@@ -86,9 +87,9 @@
     ) -> bytes | PeerTrouble:
         """Return a peer's answer, or why there is none.
 
-        ``message`` is posted; without one the path is read. ``seconds`` bounds the whole
-        exchange where silence alone is no bound. ``repeat`` sends what is harmless twice
-        once more, on a new connection, after silence.
+        ``message`` is sent by POST; without one the request is a GET. ``seconds`` limits the
+        whole exchange, beside the silence timeout. ``repeat`` allows one retry on a new
+        connection after silence, for a request that is harmless if it arrives twice.
         """
         answer = await self._exchange(address, path, message, seconds)
         if answer is PeerTrouble.SILENT and repeat:
@@ -118,15 +119,15 @@
         except aiohttp.ConnectionTimeoutError:
             return PeerTrouble.BROKEN
         except TimeoutError:
-            self._drop(address, clock.now() - started)
+            self._drop_silent(address, clock.now() - started)
             return PeerTrouble.SILENT
         except (aiohttp.ClientError, OSError):
             return PeerTrouble.BROKEN
 
     def drop_all_idle(self) -> int:
-        """Use no idle connection again; return how many they were."""
+        """Drop every idle connection, so that none is reused; return how many there were."""
         return drop_all_idle(self._session)
 
-    def _drop(self, address: str, waited: float) -> None:
+    def _drop_silent(self, address: str, waited: float) -> None:
         idle = drop_idle(self._session, address)
         self._on_silence(SilentConnection(ConnectionKind.PEER, address, waited, idle))
--- a/src/corkcrank/node/peers/peer_protocol.py
+++ b/src/corkcrank/node/peers/peer_protocol.py
@@ -1,6 +1,6 @@
-"""Messages between gateways: pieces for the owner of a stage worker, results given up.
+"""Messages between gateways: stage work, grants, and pulls of shared state.
 
-MessagePack by msgspec over HTTP; the types are these, so nothing is generated.
+MessagePack over HTTP, encoded by msgspec from these types; no code is generated.
 """
 
 import msgspec
@@ -26,14 +26,14 @@
 
 
 class FollowingPieces(msgspec.Struct, frozen=True, array_like=True):
-    """Pieces that a call will ask of a stage service once the present stage has ended."""
+    """Pieces that a call will request of a stage service after its current stage."""
 
     service: str
     pieces: int
 
 
 class FreeResults(msgspec.Struct, frozen=True):
-    """Results of one worker that nobody reads any more."""
+    """Results of one worker that are no longer needed."""
 
     worker_id: str
     handles: tuple[str, ...]
@@ -42,14 +42,14 @@
 class StageWork(msgspec.Struct, frozen=True):
     """Pieces of one stage of one call, for one stage worker.
 
-    ``following`` are those of its later stages, told with the stage that they wait for.
-    ``begins`` says that the call asks for its first pieces, so that all of them count as newly
-    asked for. ``alone`` says that a worker ended under the call's request, so that its pieces
-    share no batch with those of others.
-    ``start_by`` and ``remaining`` are seconds from the moment of sending, since clocks of
+    ``following`` are the pieces of its later stages, sent with the stage that they wait for.
+    ``begins`` says that these are the call's first pieces, so that all of them count as newly
+    requested. ``alone`` says that a worker crashed while it processed the call's request, so that
+    its pieces share no batch with those of other calls.
+    ``start_by`` and ``remaining`` are seconds from the time of sending, since clocks of
     machines are not compared.
-    ``last_reads`` are results that nobody but these pieces reads, by the worker that holds them.
-    ``question`` is a random number by which the asker may take the work back; 0 is none.
+    ``last_reads`` are results that only these pieces read, by the worker that holds them.
+    ``question`` is a random number by which the requester may withdraw the work; 0 is none.
     """
 
     worker_id: str
@@ -71,10 +71,10 @@
 
 
 class StageAnswer(msgspec.Struct, frozen=True):
-    """The results in the order of the pieces, and the wait forecast for a new one.
+    """The results in the order of the pieces, and the forecast wait of a new piece.
 
-    ``inputs_freed`` says that the results which the pieces were the last to read are given up,
-    ``short_of_room`` that pieces wait for the room that these results hold.
+    ``inputs_freed`` says that the results that only these pieces read have been freed,
+    ``short_of_room`` that pieces wait for the result memory that these results occupy.
     """
 
     results: tuple[PieceResult, ...]
@@ -85,13 +85,13 @@
 
 
 class WithdrawnQuestion(msgspec.Struct, frozen=True):
-    """Work whose asker reads no answer any more, by its number."""
+    """A withdrawal of stage work, by its random number: the requester will not read the answer."""
 
     question: int
 
 
 class PrefillRequest(msgspec.Struct, frozen=True):
-    """A call whose stages have ended asks which engine of a zone reads its prompt."""
+    """A request for a zone's engine to read a prompt, sent after the stages of its call."""
 
     call_id: str
     service: str
@@ -106,8 +106,8 @@
 class PrefillGrant(msgspec.Struct, frozen=True):
     """The engine that reads the prompt next; empty if there is none.
 
-    ``limited`` says that there are some, each of which has been given what it takes; one takes
-    more in ``wait`` seconds.
+    ``limited`` says that there are engines, but all are at their rate limits; one accepts more
+    after ``wait`` seconds.
     """
 
     worker_id: str
@@ -116,7 +116,7 @@
 
 
 class PrefillDone(msgspec.Struct, frozen=True):
-    """The prompt of a call to a service was read, or will not be: ``read`` says which."""
+    """A report that the prompt of a call was read, or will not be: ``read`` says which."""
 
     call_id: str
     service: str = ""
@@ -124,11 +124,12 @@
 
 
 class LimitGrantRequest(msgspec.Struct, frozen=True):
-    """A call asks the owner of a service's workers in a zone which limited one takes it.
+    """A call's request to the owner of a zone's workers for a grant at a rate-limited one.
 
-    ``workers`` are the candidates, the best first. ``limits`` are what the asker has heard of
-    them, so that an owner knows of a limit as soon as anybody who asks it does. ``begins`` says
-    that the call only begins: its inputs are made first, and it asks again before it is sent.
+    ``workers`` are the candidates, the best first. ``limits`` are those that the requester has
+    received from them, so that the owner knows a limit as soon as any of its requesters does.
+    ``begins`` says that the call only begins: its inputs are computed first, and it requests
+    another grant before it is sent.
     """
 
     call_id: str
@@ -140,9 +141,9 @@
 
 
 class LimitGrant(msgspec.Struct, frozen=True):
-    """The worker that takes the call; empty if none does before ``wait`` seconds are over.
+    """The worker that is granted the call; empty if none accepts it for ``wait`` seconds.
 
-    ``rate`` is how many a second all candidates take together.
+    ``rate`` is how many requests a second all candidates accept together.
     """
 
     worker_id: str
@@ -151,13 +152,13 @@
 
 
 class WorkersQuestion(msgspec.Struct, frozen=True):
-    """Asks for what changed in the list of workers after a revision."""
+    """A request for the changes of the list of workers after a revision."""
 
     since: int
 
 
 class WorkersAnswer(msgspec.Struct, frozen=True):
-    """A gateway's list of workers: ``changes`` since the revision asked for, else all of it."""
+    """A gateway's list of workers: ``changes`` since the requested revision, or all records."""
 
     revision: int
     records: tuple[WorkerRecord, ...]
@@ -165,7 +166,7 @@
 
 
 class CrashesAnswer(msgspec.Struct, frozen=True):
-    """Every worker's end that a gateway remembers."""
+    """All crash reports that a gateway has stored."""
 
     reports: tuple[CrashReport, ...]
 
--- a/tests/platform/test_engine_owners.py
+++ b/tests/platform/test_engine_owners.py
@@ -1,4 +1,4 @@
-"""Two gateways before two engines: the owner of the zone's engines says who reads what."""
+"""Prefill grants with two gateways: the owner of the zone's engines chooses among them."""
 
 import asyncio
 
@@ -45,7 +45,7 @@
         assert await asyncio.gather(*calls) == [200, 200]
 
 
-async def test_calls_are_served_when_the_owner_of_the_engines_has_died() -> None:
+async def test_calls_are_served_after_the_owner_of_the_engines_has_crashed() -> None:
     served = {"one": (StandinWorker(events=2), "model")}
     async with (
         world(configuration(1, ROUTES), served) as running,
--- a/tests/platform/test_evacuated_zones.py
+++ b/tests/platform/test_evacuated_zones.py
@@ -1,7 +1,7 @@
-"""A zone that the operator empties: its workers get nothing more until it is taken back.
+"""Evacuated zones: their workers receive nothing more until the operator ends the evacuation.
 
-Seen on two played days: evacuations lay in the store beside the configuration and nothing read
-them, so that calls and stage pieces went on to the zone's workers: 9,377 and 2,051 of them.
+Evacuations were stored beside the configuration but never read, so that calls and stage pieces
+still went to the zone's workers: 9,377 and 2,051 of them on two simulated days.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
         }
 
     def requests_in(self, zone: str) -> int:
-        """Return what the workers of a zone got: calls, pieces, reports and freed results."""
+        """Return how many calls, pieces, reports and freed results a zone's workers received."""
         number = ("z1", "z2").index(zone)
         calls = len(self.plain[number].seen) + len(self.engines[number].seen)
         return calls + len(self.encoders[number].heads)
@@ -74,12 +74,12 @@
     await until(lambda: all(node.mirror.workers.evacuated >= set(zones) for node in running.nodes))
 
 
-async def take_back(running: World, zone: str) -> None:
+async def end_evacuation(running: World, zone: str) -> None:
     running.store.remove("op", f"evacuate/{zone}")
     await until(lambda: not any(zone in node.mirror.workers.evacuated for node in running.nodes))
 
 
-async def call_everything(running: World, number: int = 0) -> list[int]:
+async def call_all_routes(running: World, number: int = 0) -> list[int]:
     """Make calls of every kind, some at the same time; return their statuses."""
     calls = [running.call("/safe/x", method="GET", number=number) for _ in range(4)]
     calls += [running.call("/once/x", number=number) for _ in range(4)]
@@ -97,18 +97,18 @@
     async with world(configuration(1, ROUTES), zones.served()) as running:
         await evacuate(running, "z1")
         before = zones.requests_in("z1")
-        assert set(await call_everything(running)) == {200}
+        assert set(await call_all_routes(running)) == {200}
         assert zones.requests_in("z1") == before
         assert zones.requests_in("z2") > 0
 
 
-async def test_a_zone_that_is_taken_back_serves_again() -> None:
+async def test_a_zone_serves_again_after_its_evacuation_ends() -> None:
     zones = Zones()
     async with world(configuration(1, ROUTES), zones.served()) as running:
         await evacuate(running, "z1")
-        await take_back(running, "z1")
+        await end_evacuation(running, "z1")
         before = zones.requests_in("z1")
-        assert set(await call_everything(running)) == {200}
+        assert set(await call_all_routes(running)) == {200}
         assert zones.requests_in("z1") > before
 
 
@@ -117,24 +117,24 @@
     async with world(configuration(1, ROUTES), zones.served()) as running:
         await evacuate(running, "z1", "z2")
         before = zones.requests_in("z1") + zones.requests_in("z2")
-        assert set(await call_everything(running)) == {503}
+        assert set(await call_all_routes(running)) == {503}
         assert zones.requests_in("z1") + zones.requests_in("z2") == before
-        await take_back(running, "z2")
-        assert set(await call_everything(running)) == {200}
+        await end_evacuation(running, "z2")
+        assert set(await call_all_routes(running)) == {200}
 
 
-async def begun(zones: Zones) -> int:
-    """Wait until an engine has a stream; return the number of its zone."""
+async def zone_of_first_stream(zones: Zones) -> int:
+    """Wait until an engine has received a stream; return the number of its zone."""
     await until(lambda: any(engine.seen for engine in zones.engines))
     return next(number for number, engine in enumerate(zones.engines) if engine.seen)
 
 
-async def test_a_stream_that_runs_there_goes_on_to_its_end() -> None:
+async def test_a_running_stream_in_an_evacuated_zone_completes() -> None:
     hold = asyncio.Event()
     zones = Zones(hold=hold)
     async with world(configuration(1, ROUTES), zones.served()) as running:
         call = asyncio.create_task(running.call("/talk/x"))
-        number = await begun(zones)
+        number = await zone_of_first_stream(zones)
         await evacuate(running, zones.engines[number].zone)
         hold.set()
         response = await call
@@ -144,14 +144,14 @@
         assert len(zones.engines[1 - number].seen) == 0
 
 
-async def test_a_stream_that_breaks_off_there_is_taken_up_in_another_zone() -> None:
+async def test_a_stream_that_fails_in_an_evacuated_zone_resumes_in_another() -> None:
     hold = asyncio.Event()
     zones = Zones(hold=hold)
     for engine in zones.engines:
         engine.faults.append("break-after-1")
     async with world(configuration(1, ROUTES), zones.served()) as running:
         call = asyncio.create_task(running.call("/talk/x"))
-        number = await begun(zones)
+        number = await zone_of_first_stream(zones)
         zones.engines[1 - number].faults.clear()
         await evacuate(running, zones.engines[number].zone)
         hold.set()
@@ -161,7 +161,7 @@
         assert [len(engine.seen) for engine in zones.engines] == [1, 1]
 
 
-async def test_pieces_that_wait_there_are_made_in_another_zone() -> None:
+async def test_waiting_pieces_of_an_evacuated_zone_run_in_another() -> None:
     gate = asyncio.Event()
     zones = Zones()
     zones.encoders[0].gate = gate
@@ -177,7 +177,7 @@
         assert len(zones.encoders[0].calls) == asked
 
 
-async def test_a_gateway_that_the_store_turns_away_hears_it_from_a_peer() -> None:
+async def test_a_gateway_refused_by_the_store_receives_an_evacuation_from_a_peer() -> None:
     zones = Zones()
     async with (
         world(configuration(1, ROUTES), zones.served()) as running,
@@ -186,12 +186,12 @@
         await until(lambda: second.ready)
         await evacuate(running, "z1")
         before = zones.requests_in("z1")
-        assert set(await call_everything(running, number=1)) == {200}
+        assert set(await call_all_routes(running, number=1)) == {200}
         assert zones.requests_in("z1") == before
-        await take_back(running, "z1")
+        await end_evacuation(running, "z1")
 
 
-async def test_a_gateway_that_starts_in_the_middle_sends_nothing_there() -> None:
+async def test_a_gateway_that_starts_during_an_evacuation_knows_it() -> None:
     zones = Zones()
     async with world(configuration(1, ROUTES), zones.served()) as running:
         await evacuate(running, "z1")
@@ -200,22 +200,22 @@
             assert second.mirror.workers.evacuated == {"z1"}
 
 
-@pytest.mark.parametrize("taken_back", [False, True])
-async def test_an_evacuation_whose_history_is_lost_is_read_anew(taken_back: bool) -> None:
+@pytest.mark.parametrize("ended", [False, True])
+async def test_an_evacuation_missing_from_the_history_is_read_again(ended: bool) -> None:
     zones = Zones()
     async with world(configuration(1, ROUTES), zones.served()) as running:
-        if taken_back:
+        if ended:
             await evacuate(running, "z1")
             running.store.rows.pop(("op", "evacuate/z1"))
         else:
             running.store.rows["op", "evacuate/z1"] = (b"{}", running.store.revision)
         running.store.revision += 1
         running.store.forget_history()
-        expected = frozenset() if taken_back else {"z1"}
+        expected = frozenset() if ended else {"z1"}
         await until(lambda: running.nodes[0].mirror.workers.evacuated == expected)
 
 
-async def test_an_evacuation_during_an_outage_is_in_force_after_it() -> None:
+async def test_an_evacuation_during_a_store_outage_applies_after_it() -> None:
     zones = Zones()
     async with world(configuration(1, ROUTES), zones.served()) as running:
         running.store.refused.add(loopback_address(1))
@@ -225,7 +225,7 @@
         await until(lambda: running.nodes[0].mirror.workers.evacuated == {"z1"})
 
 
-async def test_rows_that_name_no_zone_or_hold_anything_cost_nothing_else() -> None:
+async def test_rows_without_a_zone_or_with_any_value_affect_no_other_zone() -> None:
     zones = Zones()
     async with world(configuration(1, ROUTES), zones.served()) as running:
         running.store.put("op", "evacuate/", {})
@@ -233,4 +233,4 @@
         running.store.put("op", "evacuate", {})
         running.store.put("op", "evacuate/z1", b"\xff not JSON")
         await until(lambda: running.nodes[0].mirror.workers.evacuated == {"nowhere", "z1"})
-        assert set(await call_everything(running)) == {200}
+        assert set(await call_all_routes(running)) == {200}
--- a/tests/platform/test_silent_peers.py
+++ b/tests/platform/test_silent_peers.py
@@ -1,7 +1,8 @@
-"""Connections of peers and callers that go silent for good (see test_silent_connections.py).
+"""Connections of peers and callers that fall permanently silent.
 
-A question to a peer had no time-out at all: a gateway that pulled the configuration through a
-silent connection never pulled again, and pieces on one waited until their caller left.
+Requests to peers had no timeout: a gateway that pulled the configuration on a silent connection
+never pulled again, and pieces sent on one waited until their caller left. See also
+test_silent_connections.py.
 """
 
 import asyncio
@@ -45,8 +46,8 @@
 async def test_a_gateway_pulls_the_configuration_past_silent_connections(
     directions: dict[str, bool],
 ) -> None:
-    # One question on a silent connection had no time-out, and the loop that asks peers
-    # waited for it: newer versions were never pulled again.
+    # A request on a silent connection had no timeout, and the pull loop waited for it: newer
+    # versions were never pulled again.
     links = WorldLinks(peers=SilentLink())
     routes = [route("safe", "safe", "plain")]
     served = {"w": (StandinWorker(), "plain")}
@@ -66,26 +67,26 @@
 
 
 @DIRECTIONS
-async def test_pieces_on_a_silent_connection_to_their_owner_are_placed_anew(
+async def test_pieces_on_a_silent_connection_to_their_owner_are_placed_again(
     directions: dict[str, bool],
 ) -> None:
-    # The owner's datagrams went on, so it was never suspected, and the pieces waited until
-    # their call's end.
-    before = (SilentLink(), SilentLink())
-    patient = {**STAGED_ROUTES[0], "target_latency_ms": 3_500, "timeout_ms": 8_000}
+    # The owner still sent datagrams, so it was never suspected, and the pieces waited until the
+    # end of their call.
+    links = (SilentLink(), SilentLink())
+    long_route = {**STAGED_ROUTES[0], "target_latency_ms": 3_500, "timeout_ms": 8_000}
     encode = StandinStageWorker()
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with (
-        world(configuration(1, [patient]), served, WorldLinks(peers=before[0])) as running,
-        peer_of(running, loopback_address(2), link=before[1]) as second,
+        world(configuration(1, [long_route]), served, WorldLinks(peers=links[0])) as running,
+        peer_of(running, loopback_address(2), link=links[1]) as second,
     ):
         await acquainted(running.nodes[0], second)
         owner = running.nodes.index(owner_of(running, encode))
         caller = running.nodes[1 - owner]
         assert await call_through(running, 1 - owner) == 200
-        # The connection rests once the results were given up on it.
+        # The connection is idle after the request on it that frees the results.
         await until(lambda: not encode.held)
-        for link in before:
+        for link in links:
             link.silence(**directions)
         async with asyncio.timeout(LONGEST_SECONDS):
             status, seconds = await timed(call_through(running, 1 - owner))
@@ -97,8 +98,8 @@
         assert not member.suspected(clock.now())
 
 
-async def test_an_owner_at_work_for_long_is_not_taken_for_silent() -> None:
-    patient = {**STAGED_ROUTES[0], "target_latency_ms": 3_500, "timeout_ms": 8_000}
+async def test_an_owner_that_works_for_long_is_not_treated_as_silent() -> None:
+    long_route = {**STAGED_ROUTES[0], "target_latency_ms": 3_500, "timeout_ms": 8_000}
     gate = asyncio.Event()
     encode = StandinStageWorker(gate=gate)
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
@@ -107,7 +108,7 @@
         stage_service("encode", call_ms=1_000.0),
     ]
     async with (
-        world(configuration(1, [patient], services=services), served) as running,
+        world(configuration(1, [long_route], services=services), served) as running,
         peer_of(running, loopback_address(2)) as second,
     ):
         await acquainted(running.nodes[0], second)
@@ -139,12 +140,12 @@
 
 
 async def open_caller(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Connect as a caller that reads next to nothing ahead."""
+    """Connect as a caller that reads ahead at most 1 byte."""
     host, port = address.rsplit(":", 1)
     return await asyncio.open_connection(host, int(port), limit=1)
 
 
-def request_of(path: str, deadline_ms: int) -> bytes:
+def request_head(path: str, deadline_ms: int) -> bytes:
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Corkcrank-Attempt-Id: {call_id()}\r\n"
         f"X-Corkcrank-Deadline-Ms: {deadline_ms}\r\nX-Corkcrank-Credential: {KEY}\r\n"
@@ -154,10 +155,10 @@
 
 
 BIG_BYTES = 32 << 20
-"""More than the kernel keeps for a caller that does not read."""
+"""More than the kernel buffers for a caller that does not read."""
 
 
-def flood(*, streamed: bool) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
+def large_answers(*, streamed: bool) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
     async def answer(request: web.BaseRequest) -> web.StreamResponse:
         await request.read()
         headers = {
@@ -180,10 +181,10 @@
 
 @pytest.mark.parametrize("streamed", [True, False], ids=["stream", "plain"])
 async def test_a_caller_that_accepts_no_bytes_is_dropped(streamed: bool) -> None:
-    # A stream's write waited for the caller without end, past the call's own; a whole
-    # answer stayed in memory, since closing waits until what was written has gone out.
+    # A write to a stream waited for the caller without a limit, beyond the end of the call; a
+    # whole answer stayed in memory, since closing waits until all written bytes are sent.
     worker = StandinWorker()
-    worker.server = Server(flood(streamed=streamed))
+    worker.server = Server(large_answers(streamed=streamed))
     service = "model" if streamed else "plain"
     kind = "stream" if streamed else "unsafe"
     served = {"w": (worker, service)}
@@ -191,7 +192,7 @@
     async with world(document, served) as running:
         node = running.nodes[0]
         _, writer = await open_caller(running.address())
-        writer.write(request_of("/big/x", 800))
+        writer.write(request_head("/big/x", 800))
         await until(lambda: node.callers.in_flight == 1)
         started = clock.now()
         await until(lambda: not node.callers.connections(), seconds=5.0)
--- a/tests/scheduling/test_news_epidemic.py
+++ b/tests/scheduling/test_news_epidemic.py
@@ -1,4 +1,4 @@
-"""News of the store passed on at random: nearly all hear it, at a cost that is each one's."""
+"""Random forwarding of store updates: nearly all members receive each, at a bounded cost."""
 
 import random
 
@@ -6,43 +6,43 @@
 
 from corkcrank.node.membership.heartbeats import NEWS_MEMBERS
 
-LOST_SHARE = 0.025
+LOST_DATAGRAM_SHARE = 0.025
 SEEDS = range(30)
 
 
 def spread(members: int, first: int, source: random.Random) -> tuple[int, int]:
-    """Return how many members hear news, and after how many steps the last one does."""
-    heard = set(range(first))
-    telling, steps = list(heard), 0
-    while telling:
-        told: set[int] = set()
-        for member in telling:
+    """Return how many members receive an update, and the number of steps until the last."""
+    received = set(range(first))
+    senders, steps = list(received), 0
+    while senders:
+        recipients: set[int] = set()
+        for member in senders:
             others = [other for other in range(members) if other != member]
             for other in source.sample(others, min(NEWS_MEMBERS, len(others))):
-                if source.random() >= LOST_SHARE:
-                    told.add(other)
-        telling = sorted(told - heard)
-        heard |= told
+                if source.random() >= LOST_DATAGRAM_SHARE:
+                    recipients.add(other)
+        senders = sorted(recipients - received)
+        received |= recipients
         steps += 1
-    return len(heard), steps
+    return len(received), steps
 
 
 @pytest.mark.parametrize("members", [7, 74, 350, 1000])
-def test_nearly_all_hear_news_within_a_few_steps(members: int) -> None:
+def test_nearly_all_members_receive_an_update_within_a_few_steps(members: int) -> None:
     results = [spread(members, min(4, members), random.Random(seed)) for seed in SEEDS]
-    assert min(heard for heard, _ in results) >= 0.99 * members
+    assert min(received for received, _ in results) >= 0.99 * members
     assert max(steps for _, steps in results) <= 7
 
 
-def test_a_list_of_workers_is_put_in_order_once_for_many_changes() -> None:
+def test_a_list_of_workers_is_indexed_once_for_many_changes() -> None:
     from corkcrank.contracts.worker_records import WorkerList, WorkerRecord
 
-    ordered = 0
+    reindexed = 0
 
     class CountedList(WorkerList):
         def _reindex(self) -> None:
-            nonlocal ordered
-            ordered += 1
+            nonlocal reindexed
+            reindexed += 1
             super()._reindex()
 
     workers = CountedList()
@@ -50,4 +50,4 @@
         workers.apply_row(f"w{number}", WorkerRecord(f"w{number}", "s", "", "z"), number)
     assert len(workers.usable("s")) == 670
     assert len(workers.usable("s")) == 670
-    assert ordered == 1
+    assert reindexed == 1
