--- a/src/corkcrank/node/calls/__init__.py
+++ b/src/corkcrank/node/calls/__init__.py
@@ -1,5 +1,5 @@
-"""Plain calls, and what serving any call needs: attempts, workers' answers, shared services.
+"""Plain calls, and what every call needs: attempts, workers' answers and shared services.
 
-State: retry budgets and measured times by service, kept by ``CallServices`` for all calls
-of the node; the rest lives as long as its call. Called by ingress and by streams.
+State: retry budgets and measured times by service, held by ``CallServices`` for all calls of
+the node; all other state ends with its call. Called by ``ingress`` and ``streams``.
 """
--- a/src/corkcrank/node/calls/attempts.py
+++ b/src/corkcrank/node/calls/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one worker: what came back, judged."""
+"""Sends a call to one worker and classifies the response."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -15,26 +15,26 @@
 from corkcrank.node.workers.worker_client import SendFailure, SendTrouble
 
 AVOID_SECONDS = 1.0
-"""Time for which a worker is avoided that lost a call."""
+"""Time for which a worker is avoided after a failed attempt, in seconds."""
 
 FULL_AVOID_SECONDS = 0.15
-"""Time for which a worker is avoided that said it is full."""
+"""Time for which a worker is avoided that is full and did not run a call, in seconds."""
 
 INPUTS_GONE_STATUS = 409
-"""Status of an engine that could not fetch a result."""
+"""Status of an engine that could not fetch a stage result."""
 
 FIRST_FINAL_STATUS = 200
-"""Lower ones announce an answer; the library hands a switch of protocols (101) out as one."""
+"""Lowest status of a final answer; aiohttp returns a 101 (protocol switch) as an answer too."""
 
 LEAST_HEAD_SECONDS = 0.01
-"""Time given to the head of an answer, however little the call has left."""
+"""Minimum wait for the head of an answer, even if the call has less time left, in seconds."""
 
 MISDIRECTED_STATUS = 421
-"""Status of a worker that is not the one named."""
+"""Status of a worker that is not the one that the request names."""
 
 
 class AttemptOutcome(StrEnum):
-    """What an attempt means for the call."""
+    """Outcome of an attempt for its call."""
 
     ANSWERED = "answered"
     NOT_SENT = "not-sent"
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt after the head of its answer, or after its failure."""
+    """An attempt whose answer head arrived, or that failed."""
 
     worker: WorkerRecord
     outcome: AttemptOutcome
@@ -56,11 +56,11 @@
 
     @property
     def status(self) -> int:
-        """Return the status of the answer; zero without one."""
+        """Return the status of the answer, or zero without one."""
         return self.response.status if self.response is not None else 0
 
     def close(self) -> None:
-        """Drop the connection, so that the worker stops working."""
+        """Close the connection, so that the worker stops its work."""
         if self.response is not None:
             self.response.close()
 
@@ -75,10 +75,10 @@
     inputs: tuple[str, ...] | None = None,
     resume_after: str = "",
 ) -> Attempt:
-    """Send a call to a worker and judge the head of what comes back.
+    """Send a call to a worker and classify the head of its response.
 
-    The call counts as perhaps run from before its first byte, so that it does if this is
-    cancelled, until the worker is known not to have begun it.
+    ``call.may_have_run`` is set before the first byte is sent, so that it holds if this
+    coroutine is cancelled, and is restored once the worker is known not to have begun the call.
     """
     services.crash_watch.record_sent(call)
     remaining = call.end_at - clock.now()
@@ -139,11 +139,13 @@
         return Attempt(worker, AttemptOutcome.NOT_RUN, f"status {status}", None, head, lost_inputs)
     if not head.sealed or head.call_id != call.call_id:
         response.close()
-        return Attempt(worker, AttemptOutcome.LOST, "answer without signature")
+        return Attempt(worker, AttemptOutcome.LOST, "answer without signature or request id")
     if response.status < FIRST_FINAL_STATUS:
         response.close()
         return Attempt(
-            worker, AttemptOutcome.LOST, f"status {response.status} in place of an answer"
+            worker,
+            AttemptOutcome.LOST,
+            f"status {response.status} is not the status of a final answer",
         )
     if head.encoded and response.status < HTTPStatus.MULTIPLE_CHOICES:
         response.close()
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -1,4 +1,4 @@
-"""A call whose whole answer is read before it goes back."""
+"""Serves a plain call: its answer is read completely before it is sent to the caller."""
 
 from collections.abc import Sequence
 
@@ -18,18 +18,18 @@
 from corkcrank.scheduling.worker_choice import rank_workers
 
 SILENCE_FACTOR = 5.0
-"""A repeatable call is tried elsewhere after this multiple of the mean answer time."""
+"""A repeatable call is sent to another worker after this multiple of the mean answer time."""
 
 LEAST_SILENCE_SECONDS = 0.15
-"""It is never tried elsewhere earlier than this, in seconds: a lag of the loop is no silence of
-the worker."""
+"""Minimum wait before a repeatable call is sent to another worker, in seconds: a lag of the
+event loop must not count as silence of the worker."""
 
 LONGEST_TIME_FACTOR = 10.0
-"""A stopping gateway takes an unrepeatable call if this multiple of the mean answer time is
-left: cut, it could not be sent again. A repeatable one is taken by the mean itself."""
+"""A draining gateway accepts an unrepeatable call if this multiple of the mean answer time is
+left, because a call that is cut off could not be sent again. A repeatable call needs the mean."""
 
 SHORT_RETRY_SECONDS = 0.2
-"""When to come back after every worker said that it is full."""
+"""Retry delay sent to the caller when no worker could run the call, in seconds."""
 
 
 class PlainRun:
@@ -43,24 +43,24 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Return false: an answer goes back once it is whole."""
+        """Return false: an answer is sent only once it is complete."""
         return False
 
     def fits_before_stop(self) -> bool:
-        """Return true: its usual time was asked for when it began."""
+        """Return true: the usual time was checked when the call began."""
         return True
 
     def give_up(self) -> web.StreamResponse | Refusal:
-        """Return a worker's answer that it has, or that of a stop."""
+        """Return the last answer of a worker, or a refusal because the gateway stops."""
         return self._last_answer or stopped_answer(self._call)
 
     async def run(self) -> web.StreamResponse | Refusal:
-        """Return the worker's answer, or why there is none."""
+        """Return the worker's answer, or the refusal that states why there is none."""
         call = self._call
         call.step = CallStep.PLAIN
         service = call.service
         if not self._ends_before_stop():
-            return Refusal.draining("may take longer than is left")
+            return Refusal.draining("may take longer than the time left in the drain")
         for number in range(call.route.maximum_attempts):
             if await self._services.crash_watch.wait_for_verdict(call):
                 break
@@ -82,7 +82,7 @@
         return self._give_up()
 
     def _ends_before_stop(self) -> bool:
-        """Return whether this gateway, if it is stopping, still has time for the call."""
+        """Return whether the call would end before this gateway stops; true unless draining."""
         services, call = self._services, self._call
         if not services.drain.begun:
             return True
@@ -92,7 +92,7 @@
         return clock.now() + longest <= services.drain.answer_by
 
     async def _choose(self, now: float) -> WorkerRecord | None:
-        """Return the worker to try next: a limited one only where its owner grants it."""
+        """Return the worker to try next; a rate-limited one only if its owner grants the call."""
         self._limit_wait = None
         usable = self._services.mirror.workers.usable(self._call.service)
         limited = self._services.limits.limited(usable, now)
@@ -165,7 +165,7 @@
         return await read_whole_answer(self._services, attempt, left, silence)
 
     def _patience(self, under_way: int = 1) -> float:
-        """Return how long a head or a body is waited for; an unrepeatable call waits to its end."""
+        """Return the wait for a head or a body; an unrepeatable call waits to its deadline."""
         left = self._call.end_at - clock.now()
         if not self._repeatable_elsewhere(under_way):
             return left
@@ -175,7 +175,7 @@
         return min(left, max(LEAST_SILENCE_SECONDS, SILENCE_FACTOR * usual))
 
     def _repeatable_elsewhere(self, under_way: int = 0) -> bool:
-        """Return whether another attempt may follow; ``under_way`` ones are not counted yet."""
+        """Return whether another worker may be tried; ``under_way`` attempts are unrecorded."""
         call = self._call
         attempts = len(call.workers_tried) + under_way
         return (
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -1,4 +1,4 @@
-"""What the runs of calls share: views, clients, budgets, logs, measured times."""
+"""Services shared by all calls of a node: views, clients, budgets, logs and measured times."""
 
 import math
 import random
@@ -35,13 +35,13 @@
 from corkcrank.scheduling.worker_outcomes import CallOutcome
 
 TIME_WEIGHT = 0.15
-"""Weight of the newest measurement in a mean time."""
+"""Weight of the newest measurement in an exponentially weighted mean time."""
 
 FIRST_EVENT_SECONDS = 0.25
-"""Time to a first event assumed before one was measured."""
+"""Time to a first event assumed before the first measurement, in seconds."""
 
 PLAIN_SECONDS = 0.1
-"""Time of a plain answer assumed before one was measured."""
+"""Time of a plain answer assumed before the first measurement, in seconds."""
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     _variances: dict[str, float] = field(default_factory=dict)
 
     def learn(self, service: str, seconds: float) -> None:
-        """Take a measurement."""
+        """Update the mean and the variance of a service with a measured time."""
         known = self._means.get(service, seconds)
         off = seconds - known
         self._means[service] = known + TIME_WEIGHT * off
@@ -60,20 +60,20 @@
         self._variances[service] = (1.0 - TIME_WEIGHT) * (variance + TIME_WEIGHT * off * off)
 
     def of(self, service: str, default: float) -> float:
-        """Return the mean, or the default where nothing was measured yet."""
+        """Return the mean, or the default before the first measurement."""
         return self._means.get(service, default)
 
     def spread_of(self, service: str) -> float:
-        """Return the standard deviation, 0 where nothing was measured yet."""
+        """Return the standard deviation, 0 before the first measurement."""
         return math.sqrt(self._variances.get(service, 0.0))
 
 
 @dataclass(slots=True)
 class CallServices:
-    """Everything that serving one call needs.
+    """Everything that is needed to serve a call.
 
-    ``drain`` is the schedule of a planned stop. ``cutting`` says that this gateway is closing
-    connections on which calls may still wait.
+    ``drain`` is the schedule of a planned stop. ``cutting`` is set while this gateway closes
+    connections on which calls may still be waiting.
     """
 
     ports: PlatformPorts
@@ -109,7 +109,7 @@
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
 
     def fetch_delay(self, service: str) -> FetchDelay:
-        """Return when results that a service's engines read may be freed."""
+        """Return the delay after which results that a service's engines fetch may be freed."""
         return self._fetch_delays.setdefault(service, FetchDelay())
 
     def budget(self, service: str) -> FleetRetryBudget:
@@ -124,7 +124,7 @@
         return budget
 
     def take_bounds(self, bounds: NodeBoundSettings) -> None:
-        """Put changed bounds in force; repeats that were spent stay spent."""
+        """Apply changed bounds; repeats that were already spent stay counted."""
         self.bounds = bounds
         for budget in self._budgets.values():
             budget.ratio = bounds.retry_ratio
@@ -132,7 +132,7 @@
             budget.window = bounds.retry_window
 
     def repeats_left(self, now: float) -> dict[str, float]:
-        """Return by service how many repeats this gateway's share has left."""
+        """Return the repeats left in this gateway's share of each service's budget."""
         members = self.fleet.share_members()
         return {
             service: round(budget.remaining(now, members), 2)
@@ -148,10 +148,10 @@
         progressed: bool = False,
         sent: bool = True,
     ) -> None:
-        """Take that a worker's connection broke, or was ``silent`` for too long.
+        """Record that a worker's connection failed, or was ``silent`` for too long.
 
-        ``progressed`` says that the call had been at work there for a while, ``sent`` that the
-        worker may have had it at all: one that never had a call has not ended under it.
+        ``progressed`` is set if the worker had already worked on the call for a while, ``sent``
+        if the worker may have received it: a call that was never received crashed no worker.
         """
         if clock.now() < call.end_at:
             self.health.record_outcome(worker, CallOutcome.CONNECTION_FAILED)
@@ -159,7 +159,7 @@
             self.crash_watch.record_connection_failure(call, worker, progressed=progressed)
 
     def could_repeat(self, service: str) -> bool:
-        """Return whether a repeat could be spent now."""
+        """Return whether this gateway's share allows a repeat now, without spending it."""
         now = clock.now()
         return self.budget(service).remaining(now, self.fleet.share_members()) >= 1.0
 
--- a/src/corkcrank/node/calls/worker_answers.py
+++ b/src/corkcrank/node/calls/worker_answers.py
@@ -1,4 +1,4 @@
-"""Answers of workers as they go back to callers: whole, with the worker's own headers."""
+"""Reads answers of workers completely and copies their headers for the caller."""
 
 import asyncio
 
@@ -11,9 +11,9 @@
 async def read_whole_answer(
     services: CallServices, attempt: Attempt, seconds: float, silence: float = float("inf")
 ) -> web.Response | None:
-    """Return a worker's answer once its body is whole, or ``None`` if it was cut.
+    """Return a worker's answer once its body is complete, or ``None`` if it is cut off.
 
-    ``seconds`` bounds the whole of it, ``silence`` the wait for each next byte.
+    ``seconds`` limits the time for the whole body, ``silence`` the wait for more bytes.
     """
     upstream = attempt.response
     assert upstream is not None
@@ -32,7 +32,7 @@
 
 
 def replace_headers(response: web.StreamResponse, headers: list[tuple[str, str]]) -> None:
-    """Give an answer exactly the worker's headers, without defaults of the library."""
+    """Set exactly the given headers on an answer, without aiohttp's defaults."""
     response.headers.clear()
     for name, value in headers:
         response.headers.add(name, value)
--- a/src/corkcrank/node/ingress/__init__.py
+++ b/src/corkcrank/node/ingress/__init__.py
@@ -1,5 +1,5 @@
-"""Where a call enters: its head and body read, route and tenant found, and a run chosen.
+"""Entry point of calls: reads head and body, finds route and tenant, and starts the run.
 
-State: the calls being served, for a stop. Called by the callers' server; it may call the
-runs of plain calls and of streams.
+State: the calls being served, which a stop of the gateway needs. Called by the callers' server;
+calls the runs of plain calls and of streams.
 """
--- a/src/corkcrank/node/ingress/call_handler.py
+++ b/src/corkcrank/node/ingress/call_handler.py
@@ -1,4 +1,4 @@
-"""Handler of callers' requests: reads a call, finds its route and tenant, and has it served."""
+"""Handles callers' requests: reads a call, finds its route and tenant, and serves it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -26,23 +26,23 @@
 from corkcrank.node.streams.stream_run import StreamRun
 
 UNKNOWN_RETRY_SECONDS = 0.3
-"""When to come back to a gateway that has no configuration yet."""
+"""Retry delay sent by a gateway that has no configuration yet, in seconds."""
 
 DEFAULT_BUDGET_SECONDS = 30.0
-"""Time of a caller that does not say how long it will wait."""
+"""Time budget of a caller that sends none, in seconds."""
 
 
 FIELD_FRAMING_BYTES = 4
-"""Bytes of a header field beside its name and value: colon, space and line end."""
+"""Bytes of a header field besides its name and value: colon, space and line end."""
 
 LOGGED_PATH_LENGTH = 120
-"""Characters of a refused request's path that the log keeps."""
+"""Maximum logged length of a refused request's path, in characters."""
 
 LEFT_OUTCOME = "left"
 """Outcome of a call whose caller closed its connection."""
 
 CUT_OUTCOME = "cut"
-"""Outcome of a call whose connection this gateway closed as it stopped."""
+"""Outcome of a call whose connection this gateway closed when it stopped."""
 
 
 class CallHandler:
@@ -58,7 +58,7 @@
         return configuration.limits if configuration is not None else RequestLimits()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request; whatever goes wrong, its caller gets a final answer."""
+        """Serve one request; send a final answer on any error except a failed connection."""
         arrived_at = clock.now()
         try:
             outcome = await self._serve(request, arrived_at)
@@ -137,11 +137,11 @@
         return PlainRun(call, self._services)
 
     def _unanswered(self) -> str:
-        """Return why a call ends without an answer: this gateway cut it, or its caller left."""
+        """Return the outcome of an unanswered call: cut by this gateway, or the caller left."""
         return CUT_OUTCOME if self._services.cutting else LEFT_OUTCOME
 
     def _note_left(self, call: OpaqueCall, request: web.BaseRequest) -> None:
-        """Count how long work went on; that of stages is counted by the workers' owner."""
+        """Record how long work continued after a caller left; the owner records that of stages."""
         if call.step is not CallStep.STAGES:
             seconds = seconds_since_close(request)
             self._services.metrics.released(call.step.value, seconds)
@@ -149,10 +149,10 @@
     def _note_end(
         self, call: OpaqueCall, outcome: str, detail: str, retry_after: float | None
     ) -> None:
-        """Count and log how a call ended.
+        """Count and log the outcome of a call.
 
-        ``outcome`` is a status, a code's name, or why there was no answer; ``retry_after``
-        is when its caller was told to come back, in seconds.
+        ``outcome`` is a status, the name of a result code, or the reason for no answer.
+        ``retry_after`` is the retry delay that was sent to the caller, in seconds.
         """
         metrics = self._services.metrics
         now = clock.now()
@@ -182,9 +182,9 @@
         )
 
     def _after_signal(self, call: OpaqueCall) -> float | None:
-        """Return how long after the signal to stop a call was read, in seconds.
+        """Return the time from the stop signal to the arrival of a call, in seconds.
 
-        Negative for a call read before it, ``None`` without a signal.
+        Negative for a call that arrived before the signal, ``None`` without a signal.
         """
         drain = self._services.drain
         return round(call.arrived_at - drain.signalled_at, 3) if drain.begun else None
@@ -192,7 +192,7 @@
     def _read_call(
         self, request: web.BaseRequest, body: bytes, arrived_at: float
     ) -> OpaqueCall | Refusal:
-        # The configuration may have changed while the body came in.
+        # The configuration may have changed while the body was read.
         configuration = self._services.mirror.configuration
         assert configuration is not None
         envelope = self._services.ports.calls.read_envelope(request.headers)
@@ -272,9 +272,17 @@
         return Refusal(ResultCode.HEADERS_TOO_LARGE, close=True)
     names = [name.lower() for name, _ in request.raw_headers]
     if b"content-length" in names and b"transfer-encoding" in names:
-        return Refusal(ResultCode.MALFORMED_REQUEST, "two lengths of the body", close=True)
+        return Refusal(
+            ResultCode.MALFORMED_REQUEST,
+            "both Content-Length and Transfer-Encoding are set",
+            close=True,
+        )
     if names.count(b"content-length") > 1 or names.count(b"host") != 1:
-        return Refusal(ResultCode.MALFORMED_REQUEST, "a header is doubled", close=True)
+        return Refusal(
+            ResultCode.MALFORMED_REQUEST,
+            "more than one Content-Length, or not exactly one Host header",
+            close=True,
+        )
     length = request.content_length
     if length is not None and length > limits.body_bytes:
         return Refusal(ResultCode.BODY_TOO_LARGE, close=True)
@@ -283,23 +291,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _BodyRead:
-    """The reading of a request's body, which a stop does not wait for."""
+    """Run that reads a request's body; a stop of the gateway does not wait for it."""
 
     request: web.BaseRequest
     limits: RequestLimits
     answer_begun: bool = False
 
     async def run(self) -> bytes | Refusal:
-        """Return the body, or why it cannot be had."""
+        """Return the body, or the refusal that states why it cannot be read."""
         return await _read_body(self.request, self.limits)
 
     def fits_before_stop(self) -> bool:
-        """Return true: how much is still to come is not known."""
+        """Return true: the remaining size of the body is unknown."""
         return True
 
     def give_up(self) -> Refusal:
-        """Return the answer to a request that had not come whole."""
-        return Refusal.draining("the request had not come whole")
+        """Return the refusal of a request whose body is incomplete when the gateway stops."""
+        return Refusal.draining("the request body was incomplete when the gateway stopped")
 
 
 async def _read_body(request: web.BaseRequest, limits: RequestLimits) -> bytes | Refusal:
--- a/src/corkcrank/node/streams/engine_assignment.py
+++ b/src/corkcrank/node/streams/engine_assignment.py
@@ -1,4 +1,4 @@
-"""Counts one call, and what is to be read of its prompt, at the engine chosen for it."""
+"""Counts a call and the unread tokens of its prompt in the load of its engine."""
 
 from corkcrank.contracts.opaque_call import OpaqueCall
 from corkcrank.contracts.worker_records import WorkerRecord
@@ -7,7 +7,7 @@
 
 
 class EngineAssignment:
-    """At most one engine counts the call at a time; heartbeats tell the counts."""
+    """Counts a call at no more than one engine at a time; heartbeats report the counts."""
 
     def __init__(self, call: OpaqueCall, services: CallServices) -> None:
         self._call = call
@@ -16,7 +16,7 @@
         self._unread = 0
 
     def assign(self, engine: WorkerRecord) -> None:
-        """Count the call at an engine, and no longer at the one before."""
+        """Count the call at an engine instead of the previous one."""
         self.clear()
         statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         prompt = self._call.envelope.prompt
@@ -26,13 +26,13 @@
         self._statistics = statistics
 
     def has_read(self) -> None:
-        """Count the prompt as read: the first event came."""
+        """Remove the prompt from the unread tokens; called at the first event."""
         if self._statistics is not None:
             self._statistics.reading -= self._unread
             self._unread = 0
 
     def clear(self) -> None:
-        """Count the call no more."""
+        """Remove the call from the load of its engine."""
         if self._statistics is not None:
             self.has_read()
             self._statistics.in_flight -= 1
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with an engine on behalf of a streamed call: sent, answered, relayed, judged."""
+"""Sends a streamed call to an engine, relays its answer and records the outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 from corkcrank.scheduling.worker_outcomes import CallOutcome
 
 LEAST_FIRST_EVENT_SECONDS = 1.2
-"""A resumable stream is never moved earlier for want of a first event."""
+"""Minimum wait for a first event before a resumable stream is moved, in seconds."""
 
 FIRST_EVENT_FACTOR = 4.0
-"""It is moved after this multiple of the usual time to a first event."""
+"""A resumable stream is moved after this multiple of the mean time to a first event."""
 
 
 class EngineExchanges:
-    """The exchanges of one call, one engine after the other.
+    """The exchanges of one call with one engine after another.
 
-    ``stages`` holds the results that engines fetch. ``failure`` is the newest whole answer of
-    an engine that was a failure in place of a stream.
+    ``stages`` holds the results that engines fetch. ``failure`` is the most recent complete
+    answer of an engine that reported a failure instead of a stream.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
 
     @property
     def resume_after(self) -> str:
-        """Return the id of the last event that the caller has, empty before the first."""
+        """Return the id of the last event that the caller received, empty before the first."""
         return self._relay.resume_after
 
     @property
     def may_follow(self) -> bool:
-        """Return whether another engine may have the call, and could do better."""
+        """Return whether the call may be sent to another engine that could succeed."""
         call = self._call
         if call.may_have_run and not call.route.idempotent:
             return False
@@ -72,7 +72,7 @@
         return attempts_left and self._services.could_repeat(call.service)
 
     async def send(self, engine: WorkerRecord, inputs: tuple[str, ...]) -> RelayEnd:
-        """Send the call to an engine and relay what comes."""
+        """Send the call to an engine and relay its answer."""
         self._call.step = CallStep.ENGINE
         attempt = await self._attempt(engine, inputs)
         if attempt.outcome is AttemptOutcome.ANSWERED:
@@ -94,10 +94,10 @@
         return end
 
     async def _take_failure(self, attempt: Attempt) -> RelayEnd:
-        """Keep an engine's failure, whole, for a caller that nothing else can be sent.
+        """Read an engine's failure and store it as the answer if no engine succeeds.
 
-        It is no part of a stream that another engine began: its body has an end of its own,
-        which must not end the caller's answer.
+        It is never relayed into a stream that another engine began: the end of its body must
+        not end the caller's answer.
         """
         if attempt.status >= MIN_FAULT_STATUS:
             statistics = self._services.worker_statistics.get_or_create(attempt.worker.worker_id)
@@ -110,10 +110,10 @@
         return RelayEnd.FAILED
 
     def _failure_patience(self) -> float:
-        """Return how long the body of a failure is waited for, in seconds.
+        """Return the maximum time to read the body of a failure, in seconds.
 
-        A body without an end would hold a stream that another engine could take up until its
-        caller's time is over. A stream that has begun needs no byte of it.
+        A body that never ends would otherwise delay a stream that another engine could resume
+        until the caller's deadline. A stream that has begun does not need this body.
         """
         if not self._answer.prepared:
             return self._first_event_patience()
@@ -146,7 +146,7 @@
         self._services.recent_prefixes.record_prefix(engine.worker_id, prompt, now)
 
     def _free_after_fetch(self, engine: WorkerRecord) -> asyncio.TimerHandle | None:
-        """Free the results once the engine has fetched them, unless it queues calls."""
+        """Schedule the release of results after the usual fetch time, unless the engine queues."""
         statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         busy = statistics.in_flight + statistics.peers_in_flight
         if self.stages is None or busy >= engine.slots:
@@ -181,7 +181,7 @@
         return min(left, max(LEAST_FIRST_EVENT_SECONDS, usual))
 
     def _may_move(self, under_way: int = 0) -> bool:
-        """Return whether a silent stream could be taken up at another engine."""
+        """Return whether a stream that fell silent could be resumed at another engine."""
         call = self._call
         attempts = len(call.workers_tried) + under_way
         return (
--- a/src/corkcrank/node/streams/events.py
+++ b/src/corkcrank/node/streams/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream: cut out whole, with their ids, from bytes as they come."""
+"""Splits the bytes of an event stream into complete events with their ids."""
 
 import re
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole block of lines.
+    """One complete block of lines.
 
-    ``event_id`` is ``None`` where it has no id that is a whole number. A block without
-    ``dispatched`` is a comment or a hint to the reader, and has no place in the order.
+    ``event_id`` is ``None`` if the block has no id or one that is no whole number. A block with
+    ``dispatched`` unset is a comment or a hint to the reader and has no place in the order.
     """
 
     data: bytes
@@ -21,11 +21,11 @@
 
 
 class EventReader:
-    """Collects bytes and gives out whole events.
+    """Buffers bytes and returns complete events.
 
-    Each byte is searched once, however many events come together and in however many parts
-    one comes: a slow caller's stream collects 128 KiB, whose short events held up the loop for
-    0.56 s where each of them was searched for anew.
+    Each byte is searched once, regardless of how many events arrive in one read and how many
+    reads one event takes. The stream of a slow caller buffers 128 KiB; searching the buffer
+    again for each of its short events blocked the event loop for 0.56 s.
     """
 
     def __init__(self) -> None:
@@ -33,11 +33,11 @@
 
     @property
     def rest(self) -> bytes:
-        """Return bytes that are no whole event yet."""
+        """Return the bytes after the last complete event."""
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        r"""Take bytes and return the events that became whole.
+        r"""Add bytes to the buffer and return the events that they complete.
 
         >>> reader = EventReader()
         >>> reader.feed(b"id: 4\ndata: a\n\nid: 5\n")
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -1,4 +1,4 @@
-"""Which engine a streamed call goes to, and whether it may begin at all."""
+"""Chooses the engine of a streamed call and decides whether the call is admitted."""
 
 from dataclasses import replace
 
@@ -23,11 +23,11 @@
 from corkcrank.scheduling.zone_weights import engine_weights
 
 LIMITED_TOKENS = 6_000.0
-"""Tokens that an engine's rate limit counts as where a call's zone is chosen."""
+"""Penalty of a rate-limited engine, in prompt tokens, when a call's zone is chosen."""
 
 
 class StreamAdmission:
-    """Decides for one call from the views of this moment."""
+    """Decides for one call, from the current views of workers and load."""
 
     def __init__(self, call: OpaqueCall, services: CallServices, plan: StagePlan) -> None:
         self._call = call
@@ -39,18 +39,18 @@
         self._forecasts: dict[tuple[int, str], StageForecast | None] = {}
 
     def engine_seconds(self) -> float:
-        """Return the usual time of the service's engines to a first event."""
+        """Return the mean time of the service's engines to a first event, in seconds."""
         return self._services.first_event_times.of(self._call.service, FIRST_EVENT_SECONDS)
 
     def _engine_forecast(self) -> EngineForecast:
-        """Return the same with its spread."""
+        """Return the mean time to a first event with its standard deviation."""
         spread = self._services.first_event_times.spread_of(self._call.service)
         return EngineForecast(self.engine_seconds(), spread)
 
     def ends_before_stop(self, stages_seconds: float = 0.0) -> bool:
-        """Return whether the stream would end before this gateway, if it is stopping, does.
+        """Return whether the stream would end before this gateway stops; true unless draining.
 
-        ``stages_seconds`` is what the stages still take.
+        ``stages_seconds`` is the time that the call's stages still need.
         """
         drain = self._services.drain
         if not drain.begun:
@@ -65,7 +65,7 @@
         )
 
     def log_time_left(self, stages_seconds: float = 0.0) -> None:
-        """Log what is foreseen for a call that goes on although this gateway stops."""
+        """Log the forecast times of a call that is served while this gateway is draining."""
         drain = self._services.drain
         if not drain.begun:
             return
@@ -81,7 +81,7 @@
         )
 
     def rank_engines(self) -> list[WorkerRecord]:
-        """Return the engines that may be tried, the best first."""
+        """Return the engines that the call may be sent to, the best first."""
         call, services = self._call, self._services
         workers = services.mirror.workers
         engines = workers.usable(call.service)
@@ -90,7 +90,8 @@
         penalties = services.isolation.penalties(engines, long=long)
         limited = services.limits.limited(engines, clock.now())
         if limited:
-            # An engine that is sent little looks idle, and draws calls to its zone.
+            # A rate-limited engine receives few calls and looks idle, which would attract
+            # calls to its zone.
             penalties = dict(penalties)
             for engine in limited:
                 known = penalties.get(engine.worker_id, 0.0)
@@ -109,10 +110,10 @@
         return services.engines.rank(engines, question, services.worker_statistics, clock.now())
 
     def admit(self, engines: list[WorkerRecord]) -> WorkerRecord | Refusal:
-        """Return the first engine whose zone can feed it in time, or refuse at once.
+        """Return the first engine whose zone can run the stages in time, or refuse the call.
 
-        Nothing has been begun yet. Zones are asked in the order of the engines, so a
-        session stays with its engine as long as the zone keeps the objective.
+        No stage has started at this point. Zones are evaluated in the order of the engines, so
+        a session stays with its engine as long as the zone meets the objective.
         """
         if not self._plan.has_pieces:
             if not self.ends_before_stop():
@@ -158,7 +159,7 @@
         )
 
     def _forecast(self, stage: int, zone: str) -> StageForecast | None:
-        """Return the forecast of a stage; zones matter where the engine reads its results."""
+        """Return a stage's forecast; the zone matters only if the engine reads the results."""
         reader_zone = "" if self._plan.reader_stages(stage) else zone
         if (stage, reader_zone) not in self._forecasts:
             self._forecasts[stage, reader_zone] = self._expected(stage, reader_zone)
--- a/src/corkcrank/node/streams/stream_answer.py
+++ b/src/corkcrank/node/streams/stream_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a streamed call, as it goes out to its caller."""
+"""Writes the answer to a streamed call to its caller."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,7 +15,7 @@
 
 
 class StreamAnswer:
-    """One answer over several engines; its head is that of the first engine."""
+    """One answer that several engines may produce; its head is that of the first engine."""
 
     def __init__(self, call: OpaqueCall, services: CallServices, request: web.BaseRequest) -> None:
         self._call = call
@@ -27,33 +27,33 @@
 
     @property
     def prepared(self) -> bool:
-        """Return whether the head of the answer has gone out."""
+        """Return whether the head of the answer was sent."""
         return self._response is not None
 
     @property
     def caller_gone(self) -> bool:
-        """Return whether the caller's connection has ended."""
+        """Return whether the caller's connection is closed or closing."""
         transport = self._request.transport
         return transport is None or transport.is_closing()
 
     def finished(self) -> web.StreamResponse:
-        """Return the answer, whose end has gone out."""
+        """Return the answer, which was sent completely."""
         assert self._response is not None
         return self._response
 
     def break_off(self) -> None:
-        """End the answer so that nobody takes it for whole."""
+        """Abort the connection, so that the caller sees that the answer is incomplete."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
 
     async def write(self, upstream: aiohttp.ClientResponse, data: bytes) -> None:
-        """Pass bytes on; the first ones follow the head of ``upstream``."""
+        """Write bytes to the caller, after the head of ``upstream`` if they are the first."""
         self._note_pause()
         await self._within_call(self._write(upstream, data))
 
     async def end(self, upstream: aiohttp.ClientResponse, rest: bytes) -> None:
-        """Pass the last bytes on and end the answer as complete."""
+        """Write the last bytes and end the answer as complete."""
         await self._within_call(self._write_end(upstream, rest))
 
     async def _write(self, upstream: aiohttp.ClientResponse, data: bytes) -> None:
@@ -68,7 +68,7 @@
         self._end_by_reset(False)
 
     async def _within_call(self, writing: Coroutine[None, None, None]) -> None:
-        """Write to the caller; one that accepts no bytes is dropped at the call's end."""
+        """Write until the call's deadline, then drop a caller that accepts no bytes."""
         started = clock.now()
         try:
             async with asyncio.timeout(clock.at_least_a_moment(self._call.end_at - started)):
@@ -79,7 +79,7 @@
                 SilentConnection(ConnectionKind.CALLER, self._request.remote or "", waited)
             )
             self.break_off()
-            raise ConnectionResetError("the caller accepts no bytes") from None
+            raise ConnectionResetError("the caller accepted no bytes until the deadline") from None
 
     async def _prepare(self, upstream: aiohttp.ClientResponse) -> web.StreamResponse:
         if self._response is None:
@@ -95,9 +95,10 @@
         return self._response
 
     def _end_by_reset(self, reset: bool) -> None:
-        """Have an answer that only its connection ends not look complete before it is.
+        """Set whether an HTTP/1.0 connection is closed by a reset.
 
-        HTTP/1.0 knows no chunks; a stream that was broken off ended there as a whole one does.
+        HTTP/1.0 has no chunked encoding, so a closed connection marks the end of an answer. With
+        an ordinary close, an aborted stream looked like a complete one.
         """
         if self._request.version < HttpVersion11:
             close_by_reset(self._request.transport, reset)
--- a/src/corkcrank/node/streams/stream_part.py
+++ b/src/corkcrank/node/streams/stream_part.py
@@ -1,8 +1,8 @@
-"""One engine's part of a streamed answer: what was read of it, and whether it is whole.
+"""One engine's part of a streamed answer: which events were read, and whether it is complete.
 
-A stream is numbered, so what an engine sends shows where it begins and that nothing is missing
-between two events. Nothing numbers its end: a body that ends properly is the end of the stream
-only where the engine answered with success and stopped behind a whole event.
+Events are numbered, so they show where a part begins and that no event is missing between two
+others. The end of the stream has no number: a properly terminated body is the end of the stream
+only if the engine answered with a success status and stopped after a complete event.
 """
 
 from dataclasses import dataclass
@@ -14,11 +14,11 @@
 from corkcrank.scheduling.crash_reports import EARLY_RUN_SECONDS
 
 FIRST_EVENT_IDS = (0, 1)
-"""Ids that the first event of a stream may have: 1 in each of 173 streams of five engines'
-models that were looked at, 0 where an engine counts from nought."""
+"""Ids that the first event of a stream may have: 1 in all of 173 observed streams of five
+engines' models; 0 for an engine that counts from zero."""
 
 SUCCESS = range(200, 300)
-"""Statuses of an answer whose body is a stream."""
+"""Status codes of an answer whose body is a stream."""
 
 
 class Framing(StrEnum):
@@ -30,7 +30,7 @@
 
 
 def framing_of(response: aiohttp.ClientResponse) -> Framing:
-    """Return what marks the end of a body (RFC 9112, 6.3)."""
+    """Return what marks the end of a response body (RFC 9112, 6.3)."""
     if "Transfer-Encoding" in response.headers:
         return Framing.CHUNKS
     return Framing.LENGTH if "Content-Length" in response.headers else Framing.CONNECTION
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class StreamPart:
-    """What one engine sent of a stream.
-
-    ``resume_after`` is the id of the event after which the engine was asked to begin, empty
-    for a stream from its beginning; ``more_begun`` says that another engine showed that an event
-    follows that one. ``first_event`` and ``last_event`` are the ids of events that were passed
-    on, ``leftover`` the bytes behind the last whole event; ``skipped`` says that an event was
-    missing before one that came, ``silent`` that the engine was given up for its silence.
-    ``begun_at`` is when its first event came.
+    """State of the events that one engine sent for a stream.
+
+    ``resume_after`` is the id of the event after which the engine was asked to begin, empty for
+    a stream from its beginning. ``more_begun`` is set if the part of an earlier engine showed
+    that another event follows that one. ``first_event`` and ``last_event`` are the ids of the
+    events that were relayed; ``leftover`` holds the bytes after the last complete event.
+    ``skipped`` is set if an event was missing before one that arrived, ``silent`` if the engine
+    was abandoned because it sent nothing. ``begun_at`` is the time of its first event.
     """
 
     status: int
@@ -62,11 +62,11 @@
 
     @property
     def succeeded(self) -> bool:
-        """Return whether the body is a stream at all, and not a failure's."""
+        """Return whether the status is a success, so that the body is a stream."""
         return self.status in SUCCESS
 
     def take(self, event: StreamEvent) -> bool:
-        """Count an event that goes on where the last one ended; return whether it does."""
+        """Return whether an event directly follows the last one; count it if it does."""
         if not event.dispatched:
             return True
         if event.event_id is None or not self._is_next(event.event_id):
@@ -79,18 +79,19 @@
         return True
 
     def note_event(self, now: float) -> None:
-        """Note when the first event came."""
+        """Record the time of the first event."""
         if self.begun_at is None:
             self.begun_at = now
 
     def progressed(self, now: float) -> bool:
-        """Return whether the engine had been at work for longer than a request that crashes it."""
+        """Return whether the engine worked for longer than it takes a request to crash it."""
         return self.begun_at is not None and now - self.begun_at > EARLY_RUN_SECONDS
 
     def whole_at_end(self) -> bool:
-        r"""Return whether a body that has ended properly was the end of the stream.
+        r"""Return whether a properly terminated body was the end of the stream.
 
-        Engines end a failure as properly as a stream, and some end in the middle of an event.
+        Engines terminate the body of a failure as properly as a stream, and some stop in the
+        middle of an event.
 
         >>> StreamPart(200, Framing.CHUNKS, events=3).whole_at_end()
         True
@@ -104,10 +105,10 @@
         return self.events > 0 or (bool(self.resume_after) and not self.more_begun)
 
     def shows_more(self) -> bool:
-        r"""Return whether an event is known to follow the last one that was passed on.
+        r"""Return whether an event is known to follow the last one that was relayed.
 
-        Without this, an engine with nothing to add ended a stream as complete although the one
-        before it had broken off within the next event.
+        Without this check, an engine that had no further event ended a stream as complete
+        although the previous engine had failed in the middle of the next event.
 
         >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b"id: 4\n").shows_more()
         True
@@ -123,7 +124,7 @@
 
     @property
     def _position(self) -> int | None:
-        """Return the id of the last event that the caller has, if it is a number."""
+        """Return the id of the last event that the caller received, if it is a number."""
         if self.last_event is not None:
             return self.last_event
         return int(self.resume_after) if self.resume_after.isdecimal() else None
@@ -131,5 +132,5 @@
     def _is_next(self, event_id: int) -> bool:
         if self._position is not None:
             return event_id == self._position + 1
-        # Where a caller names an event in a way of its own, any beginning may be right.
+        # If a caller resumes after an id that is no number, any first id may be right.
         return bool(self.resume_after) or event_id in FIRST_EVENT_IDS
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes events on to a caller as they come, within one answer over several engines."""
+"""Relays events to a caller as they arrive, in one answer that several engines may produce."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 from corkcrank.node.workers.worker_client import address_of, unframed_body_end
 
 LEAST_SILENCE_SECONDS = 1.0
-"""A stream is never moved for a shorter silence between events."""
+"""Minimum silence between events after which a stream is moved, in seconds."""
 
 SILENCE_PAUSES = 2.5
-"""A resumable stream is moved after this multiple of the pause that it may have."""
+"""A resumable stream is moved after a silence of this multiple of its pause objective."""
 
 DEFAULT_PAUSE_SECONDS = 1.0
-"""Pause assumed where the route tells none."""
+"""Pause objective of a route that has none, in seconds."""
 
 
 class RelayEnd(StrEnum):
@@ -31,12 +31,12 @@
     COMPLETE = "complete"
     BROKEN = "broken"
     FAILED = "failed"
-    """The engine answered with a failure in place of a stream."""
+    """The engine answered with a failure status, without a stream."""
     CALLER_GONE = "caller-gone"
 
 
 class StreamRelay:
-    """Reads one engine's part after the other and passes the events on, each once."""
+    """Reads the parts of a stream from one engine after another and relays each event once."""
 
     def __init__(
         self,
@@ -50,21 +50,21 @@
         self._services = services
         self._answer = answer
         self.resume_after = call.envelope.resume_after
-        """Id of the last event that the caller has, as it is told to an engine."""
+        """Id of the last event that the caller received, as it is sent to an engine."""
         self._more_begun = False
         self.on_first_event: Callable[[], None] = lambda: None
 
     def part_of(self, upstream: aiohttp.ClientResponse) -> StreamPart:
-        """Return the part that begins with the head of an engine's answer."""
+        """Return a new part for an engine's answer whose head has arrived."""
         return StreamPart(
             upstream.status, framing_of(upstream), self.resume_after, self._more_begun
         )
 
     async def relay(self, attempt: Attempt, part: StreamPart, first_seconds: float) -> RelayEnd:
-        """Pass one engine's events on until they end, break or fall silent."""
+        """Relay an engine's events until the body ends, the connection fails or no byte arrives."""
         upstream = attempt.response
         assert upstream is not None
-        # Without another word the call was cancelled, which is no fault of the engine.
+        # Stays set if the call is cancelled, which is no failure of the engine.
         end = RelayEnd.CALLER_GONE
         try:
             end = await self._relay(upstream, part, first_seconds)
@@ -126,7 +126,7 @@
     async def _send_events(
         self, upstream: aiohttp.ClientResponse, part: StreamPart, events: list[StreamEvent]
     ) -> bool:
-        """Send events on; return whether their ids go on where the last ended."""
+        """Relay events; return whether each id directly follows the previous one."""
         data = []
         whole = True
         for event in events:
@@ -145,11 +145,11 @@
         return whole
 
     async def _end(self, upstream: aiohttp.ClientResponse, part: StreamPart) -> RelayEnd:
-        """End the answer if the engine's end was that of the stream.
+        """End the answer as complete if the engine's part was the end of the stream.
 
-        A proper end of the body proves nothing: a second engine's failure, or a part of an
-        event, ended the answers of callers whose streams were not whole (18 streams in 6 plays
-        of failing engines beside broken streams; none in the same 6 with this check).
+        A properly terminated body proves nothing: without this check, the failure of a second
+        engine or a partial event ended incomplete streams as complete (18 streams in 6
+        simulations with failing engines and broken streams; none in the same 6 with the check).
         """
         if not part.whole_at_end():
             return RelayEnd.BROKEN
@@ -161,7 +161,7 @@
         return RelayEnd.COMPLETE
 
     def _learn_time(self) -> None:
-        """Learn how long the stream took, unless its caller had a part of it before."""
+        """Update the estimate of stream times, unless the caller resumed the stream."""
         call = self._call
         if call.first_byte_at is None or call.envelope.resume_after:
             return
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -1,4 +1,4 @@
-"""A call whose answer is a stream of events: stages, relay, resume."""
+"""Serves a call whose answer is a stream: runs its stages, sends it to engines, resumes it."""
 
 import asyncio
 
@@ -24,13 +24,13 @@
 from corkcrank.scheduling.stage_plan import StagePlan
 
 LEAST_WAIT_SECONDS = 0.02
-"""Shortest pause before owners are asked again."""
+"""Minimum pause before owners are asked again for a turn, in seconds."""
 
 LONGEST_TURN_SECONDS = 1.0
-"""Longest wait for a turn at a limited engine after the stages."""
+"""Maximum wait for a turn at a rate-limited engine after the stages, in seconds."""
 
 SHORT_RETRY_SECONDS = 3 * MIN_RETRY_SECONDS
-"""When to come back if no engine could be had."""
+"""Retry delay sent to the caller when no engine is available, in seconds."""
 
 
 class StreamRun:
@@ -49,24 +49,24 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Return whether the head of the answer has gone out."""
+        """Return whether the head of the answer was sent to the caller."""
         return self._call.answer_begun
 
     def fits_before_stop(self) -> bool:
-        """Return whether the rest of a call that no engine has had usually ends in time."""
+        """Return whether the call may have run already or usually ends before the stop."""
         return self._call.may_have_run or self._admission.ends_before_stop()
 
     def give_up(self) -> web.StreamResponse | Refusal:
-        """Return the answer of a stop; one that has just begun can only be broken off."""
+        """Return the answer to send when the gateway stops; abort an answer that has begun."""
         if self._answer.prepared:
             self._answer.break_off()
-            raise ConnectionResetError("the gateway stops")
+            raise ConnectionResetError("the gateway stops before the stream is complete")
         return self._exchanges.failure or stopped_answer(self._call)
 
     async def run(self) -> web.StreamResponse | Refusal:
-        """Return the finished answer, or why there is none."""
+        """Return the finished answer, or the refusal that states why there is none."""
         if clock.now() > self._services.drain.streams_until:
-            return Refusal.draining("read late in the drain")
+            return Refusal.draining("request arrived too late in the drain")
         if wait := await self._services.crash_watch.wait_for_verdict(self._call):
             return Refusal.quarantined(wait)
         tokens = self._call.envelope.prompt.tokens_in
@@ -90,10 +90,11 @@
                 self._exchanges.stages.close()
 
     async def _admit(self, engines: list[WorkerRecord]) -> WorkerRecord | Refusal:
-        """Return the engine to make the stages for, or refuse at once.
+        """Return the engine that the stages are run for, or refuse the call immediately.
 
-        Where every engine is limited, one has to take the call before anything is begun: what its
-        stages made would be lost, and the caller held, if none did later.
+        If every engine is rate-limited, one must grant the call before its stages start.
+        Otherwise the stage results would be wasted and the caller kept waiting if no engine
+        accepted the call later.
         """
         limited = self._services.limits.limited(engines, clock.now())
         if len(limited) == len(engines):
@@ -131,7 +132,7 @@
         return self._give_up()
 
     async def _engine_to_send_to(self, chosen: WorkerRecord, number: int) -> WorkerRecord | None:
-        """Return the engine that takes the call now, if it may be sent at all."""
+        """Return the engine to send the call to now, or ``None`` if it must not be sent."""
         crash_watch = self._services.crash_watch
         if await crash_watch.wait_for_verdict(self._call):
             return None
@@ -145,10 +146,10 @@
         return None if crash_watch.quarantine_seconds_left(self._call) else engine
 
     async def _take_turn(self, chosen: WorkerRecord) -> WorkerRecord | None:
-        """Return the engine that reads the prompt next.
+        """Wait for a turn to read the prompt; return the engine that granted it.
 
-        Where all are limited and have what they take, one may take the call a little later: what
-        its stages made would be lost otherwise.
+        If every engine has reached its rate limit, waits a little for a turn, because the
+        results of the call's stages would be wasted otherwise.
         """
         self._call.step = CallStep.ENGINE_GRANT
         give_up_at = min(self._call.end_at, clock.now() + LONGEST_TURN_SECONDS)
@@ -162,7 +163,7 @@
         return engine
 
     async def _ask_turn(self, chosen: WorkerRecord) -> PrefillTurn:
-        """Ask the owner of the chosen engine's zone for a turn, then those of other zones."""
+        """Request a turn from the owner of the chosen engine's zone, then from other zones."""
         services = self._services
         long = services.prompt_sizes.has_long_prompts(self._call.route.name)
         turn = await services.prefill_grants.take(self._call, chosen, long=long)
@@ -171,12 +172,12 @@
         if services.worker_statistics.get_or_create(turn.engine.worker_id).is_unavailable(
             clock.now()
         ):
-            # The owner has not heard yet that it ended.
+            # The owner has not yet received the report that this engine exited.
             return PrefillTurn(services.prefill_grants.take_ungranted(chosen), turn.wait)
         return turn
 
     async def _elsewhere(self, zone: str, wait: float, *, long: bool) -> PrefillTurn:
-        """Return the turn that another zone's owner grants, the best zone first."""
+        """Request a turn from the owners of the other zones, the best zone first."""
         turn, asked = PrefillTurn(None, wait), {zone}
         for candidate in self._admission.rank_engines():
             if turn.engine is None and candidate.zone not in asked:
@@ -195,7 +196,7 @@
         return turn
 
     def _may_send(self, number: int) -> bool:
-        """Return whether there is time and, for a repeat, budget left."""
+        """Return whether there is time left; record a first attempt or spend a repeat."""
         now = clock.now()
         if now >= self._call.end_at:
             return False
@@ -248,7 +249,7 @@
         return handles
 
     async def _timed_stages(self, stages: StageRun) -> tuple[tuple[str, ...], float]:
-        """Run the stages, and learn how far their forecast was off."""
+        """Run the stages and update the estimate of their forecast's error."""
         route, forecast = self._call.route.name, self._admission.stages_forecast
         bias = self._services.forecast_bias
         started = clock.now()
@@ -272,7 +273,7 @@
         tokens.labels("kept").inc(max(0, prompt.tokens_in - unread))
 
     def _after_failure(self, engine: WorkerRecord) -> None:
-        """Make results again that were freed, before another engine is tried."""
+        """Mark freed results to be produced again for the next engine, and log the move."""
         if self._exchanges.stages is not None and self._exchanges.stages.closed:
             self._plan.reset_results()
             self._exchanges.stages.closed = False
@@ -286,7 +287,7 @@
     def _give_up(self) -> web.StreamResponse | Refusal:
         if self._answer.prepared:
             self._answer.break_off()
-            raise ConnectionResetError("the stream cannot be finished")
+            raise ConnectionResetError("no engine is left to complete the stream")
         if self._exchanges.failure is not None:
             return self._exchanges.failure
         if self._call.may_have_run:
@@ -306,7 +307,7 @@
     def _stage_refusal(self, error: StageFailedError) -> web.StreamResponse | Refusal:
         if self._answer.prepared:
             self._answer.break_off()
-            raise ConnectionResetError("the stream cannot be finished") from error
+            raise ConnectionResetError("no engine is left to complete the stream") from error
         if self._exchanges.failure is not None:
             return self._exchanges.failure
         if self._call.may_have_run:
--- a/tests/platform/test_callers_leave.py
+++ b/tests/platform/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""A caller who leaves: half a second after its close nothing is sent or at work for it.
+"""Half a second after a caller closes its connection, no work for it is sent or running.
 
 Each test closes a caller's connection at one step of its call.
 """
@@ -38,7 +38,7 @@
     route("staged", "stream", "model", stages=STAGES),
 ]
 PIECES = {"X-Corkcrank-Segments": "2,1", "X-Corkcrank-Segment-Key": "k"}
-GIVEN_UP = 5
+CLOSED_CALLERS = 5
 WAYS = ["close", "reset", "write-side"]
 
 
@@ -52,7 +52,7 @@
 
 @asynccontextmanager
 async def calling(served: Served, path: str) -> AsyncIterator[tuple[World, Caller]]:
-    """Run a gateway, with one caller that has sent a request."""
+    """Run a gateway and one caller that has sent a request."""
     async with (
         world(configuration(1, ROUTES), served) as running,
         caller_of(running) as caller,
@@ -61,7 +61,7 @@
         yield running, caller
 
 
-async def nothing_is_sent_on(running: World, served: Served, caller: Caller) -> None:
+async def assert_nothing_is_sent(running: World, served: Served, caller: Caller) -> None:
     """Check that the call ends in time and that no worker gets a request later."""
     await ends_in_time(running)
     before = requests_seen(served)
@@ -71,14 +71,14 @@
 
 @pytest.mark.parametrize("how", WAYS)
 @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/talk/x"])
-async def test_before_any_answer_the_worker_sees_the_close(path: str, how: str) -> None:
+async def test_before_an_answer_the_worker_sees_the_close(path: str, how: str) -> None:
     plain, model = StandinWorker(faults=deque(["hang"])), StandinWorker(faults=deque(["hang"]))
     served: Served = {"p": (plain, "plain"), "m": (model, "model")}
     async with calling(served, path) as (running, caller):
         await until(lambda: requests_seen(served) == 1)
         caller.leave(how)
         await until(lambda: plain.left + model.left == 1, seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         assert requests_seen(served) == 1
 
 
@@ -90,15 +90,15 @@
         await caller.reader.readuntil(b"id: 3")
         caller.leave(how)
         await until(lambda: model.left == 1, seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
 
 
 @pytest.mark.parametrize("how", WAYS)
 async def test_a_caller_that_reads_slowly_and_leaves_frees_its_engine(how: str) -> None:
-    """After its own end, a connection stays until all that was written to it is read.
+    """A closed connection stays open until all data written to it has been read.
 
-    The engine was still at work half a second after a caller that read nothing more had
-    closed its sending side.
+    An engine was still working half a second after a caller that had stopped reading closed its
+    sending side.
     """
     model = StandinWorker(events=1000, padding=60_000)
     served: Served = {"m": (model, "model")}
@@ -108,15 +108,15 @@
         await until(lambda: connection._paused)
         caller.leave(how)
         await until(lambda: model.left == 1, seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
 
 
 @pytest.mark.parametrize("how", WAYS)
 async def test_an_engine_is_not_blamed_for_a_caller_that_left(how: str) -> None:
-    """A stream that its caller closed counted as a failure of the engine.
+    """A stream that its caller closed must not count as a failure of the engine.
 
-    Engines are chosen and avoided by their failures of the last seconds, so callers that
-    leave would turn others away from sound engines.
+    Engines are chosen and avoided by their failures of the last seconds, so callers that leave
+    would keep other calls away from healthy engines.
     """
     model = StandinWorker(events=1000, gap=0.02)
     async with calling({"m": (model, "model")}, "/talk/x") as (running, caller):
@@ -140,7 +140,7 @@
         await until(lambda: requests_seen(served) == 2)
         caller.leave()
         await until(lambda: sum(worker.left for worker in workers) == 1, seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         assert requests_seen(served) == 2
 
 
@@ -154,7 +154,7 @@
         caller.send("/safe/x", {"Content-Length": "100"}, b"half of it")
         await until(lambda: running.nodes[0].callers.in_flight == 1)
         caller.leave()
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
     assert not one.seen
 
 
@@ -178,7 +178,7 @@
     assert requests_seen(served) == 3
 
 
-async def test_while_pieces_wait_for_room_they_are_withdrawn() -> None:
+async def test_while_pieces_wait_for_result_memory_they_are_withdrawn() -> None:
     served = staged_workers(room=0)
     encode = served["e"][0]
     assert isinstance(encode, StandinStageWorker)
@@ -190,11 +190,11 @@
         caller.leave()
         await ends_in_time(running)
         encode.room = 9
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         assert not encode.held
 
 
-async def test_while_a_stage_is_at_work_its_results_are_freed_and_no_stage_follows() -> None:
+async def test_while_a_stage_runs_its_results_are_freed_and_no_stage_follows() -> None:
     gate = asyncio.Event()
     served = staged_workers(gate)
     async with calling(served, "/staged/x") as (running, caller):
@@ -203,7 +203,7 @@
         await ends_in_time(running)
         gate.set()
         await until(lambda: not running.nodes[0].stage_owner.busy and not results_held(served))
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         assert requests_seen(served) == 1
 
 
@@ -214,7 +214,7 @@
         await until(lambda: requests_seen(served) == 1)
         gate.set()
         caller.leave()
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         await until(lambda: not running.nodes[0].stage_owner.busy and not results_held(served))
         assert not _worker(served, "m").seen
 
@@ -250,32 +250,32 @@
         await until(lambda: len(model.seen) == 1)
         caller.leave()
         await until(lambda: model.left == 1 and not results_held(served), seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/once/x", "/talk/x", "/staged/x"])
-async def test_a_request_whose_caller_gave_up_before_it_was_read_reaches_no_worker(
+async def test_a_request_whose_caller_left_before_it_was_read_reaches_no_worker(
     path: str,
 ) -> None:
-    """The loop tells of a close some turns after the request before it was read.
+    """The event loop reports a close some iterations after it reads the preceding request.
 
-    A call could go out on a kept connection in between: one of five requests whose callers
-    had closed before anything of them was read reached a worker.
+    A call could be sent on an open connection in between: one of five requests whose callers
+    had closed before any byte of them was read reached a worker.
     """
     served: Served = {**staged_workers(), "p": (StandinWorker(), "plain")}
     headers = PIECES if "staged" in path else None
     async with world(configuration(1, ROUTES), served) as running:
-        # Connections to workers are open, so that a request may go out at once.
+        # Opens connections to workers, so that a request can be sent immediately.
         warm = await running.call(path, headers=headers or {})
         assert warm.status == 200
         await warm.read()
         before = requests_seen(served)
         server = running.nodes[0].callers._server
         read_before = server.requests_count
-        callers = await accepted_callers(running, GIVEN_UP)
+        callers = await accepted_callers(running, CLOSED_CALLERS)
         send_and_leave_unread(callers, lambda: request_bytes(path, headers))
         left_at = clock.now()
-        await until(lambda: server.requests_count == read_before + GIVEN_UP)
+        await until(lambda: server.requests_count == read_before + CLOSED_CALLERS)
         await ends_in_time(running)
         await until(lambda: clock.now() > left_at + LEAVE_SECONDS)
         assert requests_seen(served) == before
@@ -286,9 +286,9 @@
 async def test_a_caller_that_sent_further_requests_and_leaves_frees_its_worker(
     further: int,
 ) -> None:
-    """Reading is paused once enough further requests wait, and a close was not seen.
+    """Reading pauses once enough further requests wait, so a close was not detected.
 
-    The worker was still at work half a second after it.
+    The worker was still working half a second after the close.
     """
     one = StandinWorker(faults=deque(["hang"]))
     served: Served = {"p": (one, "plain")}
@@ -300,7 +300,7 @@
         await until(lambda: connection._request_count > 1)
         caller.leave()
         await until(lambda: one.left == 1, seconds=LEAVE_SECONDS)
-        await nothing_is_sent_on(running, served, caller)
+        await assert_nothing_is_sent(running, served, caller)
         assert len(one.seen) == 1
 
 
--- a/tests/platform/test_event_reader.py
+++ b/tests/platform/test_event_reader.py
@@ -1,9 +1,9 @@
-r"""Events are cut out of a stream's bytes alike wherever these are split, in linear time.
+r"""The event reader returns the same events however the bytes are split, in linear time.
 
-What a review showed: every whole event searched all bytes that were read together for each kind
-of line end and copied what was behind it. A read of 128 KiB of short events, which a stream with
-a slow caller collects, held up the loop, and so every other stream of the gateway, for 0.56 s;
-it takes 0.015 s now.
+Guards against quadratic time: for each complete event, the reader searched all buffered bytes
+for each kind of line end and copied the remainder. A read of 128 KiB of short events, which the
+stream of a slow caller buffers, blocked the event loop and every other stream of the gateway
+for 0.56 s; it takes 0.015 s with the linear search.
 """
 
 import itertools
@@ -16,7 +16,7 @@
 
 SHORT_EVENT = b"id: 7\ndata: token\n\n"
 LARGER = 8
-"""How many times the larger of two reads is the smaller one."""
+"""Size of the larger of two reads as a multiple of the smaller one."""
 
 LINE_ENDS = st.sampled_from([b"\n", b"\r\n", b"\r"])
 LINES = st.sampled_from(
@@ -37,7 +37,7 @@
 
 
 @given(streams(), st.lists(st.integers(0, 300), max_size=20))
-def test_events_do_not_depend_on_where_bytes_are_split(stream: bytes, cuts: list[int]) -> None:
+def test_events_do_not_depend_on_how_bytes_are_split(stream: bytes, cuts: list[int]) -> None:
     places = [0, *sorted(min(cut, len(stream)) for cut in cuts), len(stream)]
     chunks = [stream[start:end] for start, end in itertools.pairwise(places)]
     expected = read([stream])
@@ -48,8 +48,8 @@
 
 
 def seconds_to_read(chunks: list[bytes]) -> float:
-    """Return the least processor time of some readings: the wall's was 42 times as long for eight
-    times the events, once beside a load of 18 on eight processors."""
+    """Return the minimum processor time of 5 runs. Wall-clock time is not used: at a load of 18
+    on eight processors it was once 42 times as long for eight times the events."""
     times = []
     for _ in range(5):
         started = time.process_time()
@@ -58,13 +58,13 @@
     return min(times)
 
 
-def test_time_for_events_that_are_read_together_grows_with_their_number() -> None:
+def test_time_is_linear_in_the_number_of_events_in_one_read() -> None:
     few = SHORT_EVENT * 500
     ratio = seconds_to_read([few * LARGER]) / seconds_to_read([few])
     assert ratio < 3 * LARGER
 
 
-def test_time_for_an_event_that_comes_in_parts_grows_with_their_number() -> None:
+def test_time_is_linear_in_the_number_of_reads_of_one_event() -> None:
     part = b"x" * 4096
     ratio = seconds_to_read([part] * 100 * LARGER) / seconds_to_read([part] * 100)
     assert ratio < 3 * LARGER
--- a/tests/platform/test_first_attempt.py
+++ b/tests/platform/test_first_attempt.py
@@ -1,4 +1,4 @@
-"""The objective of a caller that came back counts from its first attempt."""
+"""The objective of a caller that retries counts from its first attempt."""
 
 import asyncio
 
@@ -44,13 +44,13 @@
 @pytest.mark.parametrize(
     ("budget_seconds", "due_at"), [(4.0, 101.5), (None, 101.5), (3.9, 101.5), (3.0, 100.5)]
 )
-def test_the_time_before_a_return_is_taken_off(budget_seconds: float | None, due_at: float) -> None:
+def test_time_before_a_retry_is_subtracted_from_the_objective(
+    budget_seconds: float | None, due_at: float
+) -> None:
     assert call_with(budget_seconds).objective_at == pytest.approx(due_at)
 
 
-async def test_a_late_return_is_served_where_nothing_waits_and_refused_at_once_where_it_does() -> (
-    None
-):
+async def test_a_late_retry_is_served_without_a_queue_and_refused_immediately_with_one() -> None:
     engine, encode = StandinWorker(events=2), StandinStageWorker()
     served = {"m": (engine, "model"), "e": (encode, "encode")}
     routes = [route("staged", "stream", "model", stages=STAGES)]
--- a/tests/platform/test_not_run.py
+++ b/tests/platform/test_not_run.py
@@ -1,8 +1,8 @@
-"""A call whose inputs cannot be made is told that it has not run, so that it may come back.
+"""A call whose stages fail is answered as not run, so that its caller may retry it.
 
-Calls whose stages were begun and then failed were answered 502, which promises nothing: their
-callers could not come back with an unrepeatable stream, although no engine had had it. Pieces
-of stages are inputs; they may be made again and do no work of the call.
+Guards against answering 502, which leaves open whether a call has run. Callers of an unrepeatable
+stream could not retry after that, although no engine had received the call. The pieces of stages
+only produce inputs: they may be rerun and do none of the call's own work.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
     assert engine.seen == []
 
 
-async def test_a_later_stage_that_is_lost_again_and_again() -> None:
+async def test_a_later_stage_that_fails_repeatedly() -> None:
     engine, encode = StandinWorker(events=2), StandinStageWorker()
     rerank = StandinStageWorker(faults=deque(["reset"] * 20))
     served = {"m": (engine, "model"), "e": (encode, "encode"), "r": (rerank, "rerank")}
@@ -38,7 +38,7 @@
         await until(lambda: encode.held == set())
 
 
-async def test_engines_that_leave_while_the_stages_are_made() -> None:
+async def test_engines_that_leave_while_the_stages_run() -> None:
     engine, encode = StandinWorker(events=2), StandinStageWorker(gate=asyncio.Event())
     rerank = StandinStageWorker()
     served = {"m": (engine, "model"), "e": (encode, "encode"), "r": (rerank, "rerank")}
--- a/tests/platform/test_plain_calls.py
+++ b/tests/platform/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Plain calls through a whole gateway: bytes untouched, answers whole, at most once."""
+"""Plain calls through a whole gateway: bytes unchanged, answers complete, run at most once."""
 
 import asyncio
 import json
@@ -59,7 +59,7 @@
     assert "X-Corkcrank-Credential" not in seen.headers
 
 
-async def test_chunked_body_arrives_whole() -> None:
+async def test_chunked_body_arrives_complete() -> None:
     one = StandinWorker()
 
     async def parts():  # type: ignore[no-untyped-def]
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "no-seal", "foreign-id", "cut-chunk", "unframed-reset"])
-async def test_unrepeatable_call_runs_once_and_is_not_promised(fault: str) -> None:
+async def test_unrepeatable_call_runs_once_and_is_not_invited_to_retry(fault: str) -> None:
     served = workers(fault, second=(fault,))
     async with world(configuration(1, ROUTES), served) as running:
         response = await running.call("/once/x", data=b"order")
@@ -98,7 +98,7 @@
     assert sum(len(worker.seen) for worker, _ in served.values()) == 1
 
 
-async def test_unrepeatable_call_goes_on_after_a_worker_that_did_not_run_it() -> None:
+async def test_unrepeatable_call_is_retried_after_a_worker_that_did_not_run_it() -> None:
     served = workers("full", second=())
     served["two"][0].faults = deque(["full"])
     async with world(configuration(1, ROUTES), served) as running:
@@ -109,7 +109,7 @@
     assert not any(worker.seen for worker, _ in served.values())
 
 
-async def test_surplus_answer_is_never_taken_for_the_next() -> None:
+async def test_surplus_answer_is_never_used_for_the_next_request() -> None:
     one = StandinWorker(faults=deque(["surplus"]))
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         first = await running.call("/safe/x", method="GET")
@@ -128,7 +128,7 @@
     assert not one.seen
 
 
-async def test_unknown_routes_and_keys_are_told_apart() -> None:
+async def test_unknown_routes_and_keys_have_different_statuses() -> None:
     one = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         statuses = [
@@ -158,7 +158,7 @@
         await until(lambda: running.nodes[0].callers.in_flight == 0)
 
 
-async def test_last_attempt_is_waited_for_to_the_end() -> None:
+async def test_last_attempt_is_awaited_until_the_deadline() -> None:
     hold = asyncio.Event()
     one, two = StandinWorker(hold=hold), StandinWorker(hold=hold)
     routes = [route("single", "safe", "plain", max_attempts=1, target_latency_ms=20)]
@@ -166,14 +166,14 @@
     async with world(configuration(1, routes), served) as running:
         call = asyncio.create_task(running.call("/single/x", method="GET"))
         await until(lambda: len(one.seen) + len(two.seen) == 1)
-        # Longer than a call with another attempt left would be waited for.
+        # Longer than the wait for a call that has another attempt left.
         await asyncio.sleep(0.9)
         hold.set()
         assert (await call).status == 200
 
 
-async def test_a_repeatable_call_waits_by_what_was_measured_and_not_by_its_objective() -> None:
-    """A silent worker held calls for half of their objective, here 0.75 s."""
+async def test_a_repeatable_call_waits_by_measured_time_and_not_by_its_objective() -> None:
+    """A silent worker delayed calls for half of their objective, here 0.75 s."""
     served = workers()
     async with world(configuration(1, ROUTES), served) as running:
         for _ in range(20):
--- a/tests/platform/test_stream_takeover.py
+++ b/tests/platform/test_stream_takeover.py
@@ -1,13 +1,13 @@
-"""A stream that an engine left is taken up at once, for as long as it can be, and to its end.
+"""A stream whose engine fails is resumed at another engine immediately and completely.
 
-What a review of the wholeness of streams showed, beside the streams that it had mended:
+The tests guard against these failures:
 
-- an engine's failure whose body did not end held a stream that another engine could have taken
-  up until the caller's time was over, since the whole body was waited for;
-- a failure that was cut took the place of one that was whole;
-- an engine that had nothing behind the last event ended an answer as complete although the
-  engine before had begun to send the next event;
-- stages were made again for a stream that no other engine was left to take up.
+- The gateway waited for the whole body of an engine's failure. If that body did not end, a
+  stream that another engine could have resumed waited until the caller's deadline.
+- A failure whose body was cut off replaced a complete one.
+- An engine that had no event after the last one ended an answer as complete although the
+  previous engine had begun to send the next event.
+- Stages were rerun for a stream that no other engine was left to resume.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from engine_script import Answer, Ending, Framing, Script, ScriptedEngine, events, honest
 from node_world import World, configuration, route, stop, until, world
 from platform_standins import SEAL, StandinStageWorker
-from test_stream_wholeness import EVENTS, ROUTES, WHOLE, answer_of, broken_after, failing
+from test_stream_wholeness import EVENTS, ROUTES, WHOLE, broken_after, failing, read_answer
 
 READ_BYTES = 16_384
 
@@ -32,22 +32,22 @@
 
 
 @pytest.mark.parametrize("failure", SILENT_FAILURES)
-async def test_failure_without_an_end_does_not_hold_a_stream(failure: str) -> None:
+async def test_unfinished_failure_body_does_not_delay_a_stream(failure: str) -> None:
     scripts = broken_after(4), SILENT_FAILURES[failure], honest(EVENTS)
-    assert await answer_of("/resumed/x", *scripts) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", *scripts) == (200, WHOLE, True)
 
 
 @pytest.mark.parametrize("failure", SILENT_FAILURES)
-async def test_failure_without_an_end_does_not_hold_the_first_event(failure: str) -> None:
+async def test_unfinished_failure_body_does_not_delay_the_first_event(failure: str) -> None:
     scripts = SILENT_FAILURES[failure], honest(EVENTS)
-    assert await answer_of("/resumed/x", *scripts) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", *scripts) == (200, WHOLE, True)
 
 
-async def test_cut_failure_does_not_take_the_place_of_a_whole_one() -> None:
+async def test_cut_failure_does_not_replace_a_complete_one() -> None:
     cut: Script = lambda after: Answer(  # noqa: E731
         b"no", 500, Framing.LENGTH, Ending.RESET, missing=4
     )
-    assert await answer_of("/resumed/x", failing(), cut) == (500, b"out of order", True)
+    assert await read_answer("/resumed/x", failing(), cut) == (500, b"out of order", True)
 
 
 NEXT_EVENT_BEGUN = {
@@ -57,14 +57,14 @@
 
 
 @pytest.mark.parametrize("begun", NEXT_EVENT_BEGUN)
-async def test_engine_without_the_event_that_another_began_does_not_end_a_stream(
+async def test_engine_without_the_event_that_another_engine_began_does_not_end_a_stream(
     begun: str,
 ) -> None:
     scripts = NEXT_EVENT_BEGUN[begun], honest(4), honest(EVENTS)
-    assert await answer_of("/resumed/x", *scripts) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", *scripts) == (200, WHOLE, True)
 
 
-async def test_stages_are_not_made_again_when_no_engine_is_left() -> None:
+async def test_stages_are_not_rerun_when_no_engine_is_left() -> None:
     stages = [{"service": "encode", "since_revision": [], "byte_length": 1000}]
     routes = [route("staged", "stream", "model", stream_resume=True, max_attempts=3, stages=stages)]
     encode = StandinStageWorker()
@@ -77,28 +77,28 @@
     assert len(encode.calls) == 1
 
 
-async def test_engine_that_begins_anew_does_not_show_that_an_event_is_missing() -> None:
+async def test_engine_that_restarts_the_stream_does_not_show_that_an_event_is_missing() -> None:
     anew: Script = lambda after: Answer(WHOLE)  # noqa: E731
     expected = (200, b"", True)
-    assert await answer_of("/resumed/x", anew, honest(EVENTS), after=str(EVENTS)) == expected
+    assert await read_answer("/resumed/x", anew, honest(EVENTS), after=str(EVENTS)) == expected
 
 
 NO_STREAM = [101, 204, 206, 301, 304, 400, 404, 429, 503, 599, 999]
 
 
 @pytest.mark.parametrize("status", NO_STREAM)
-async def test_answer_that_is_no_stream_does_not_end_one(status: int) -> None:
+async def test_answer_that_is_no_stream_does_not_end_a_stream(status: int) -> None:
     script: Script = lambda after: Answer(b"", status, Framing.LENGTH)  # noqa: E731
-    got = await answer_of("/resumed/x", broken_after(4), script, honest(EVENTS))
+    got = await read_answer("/resumed/x", broken_after(4), script, honest(EVENTS))
     assert got in ((200, WHOLE, True), (200, events(1, 4), False))
 
 
-async def test_failure_whose_body_is_a_series_of_events_is_no_part_of_a_stream() -> None:
+async def test_events_in_the_body_of_a_failure_are_not_relayed() -> None:
     script: Script = lambda after: Answer(events(after + 1, EVENTS), 500)  # noqa: E731
-    assert await answer_of("/resumed/x", broken_after(4), script) == (200, events(1, 4), False)
+    assert await read_answer("/resumed/x", broken_after(4), script) == (200, events(1, 4), False)
 
 
-async def test_failure_that_is_kept_goes_back_when_the_gateway_stops() -> None:
+async def test_stored_failure_is_returned_when_the_gateway_stops() -> None:
     silent: Script = lambda after: Answer(b"", ending=Ending.SILENCE)  # noqa: E731
     turns = [failing(body=b"kept"), silent]
     engines = [ScriptedEngine([lambda after: turns.pop(0)(after)]) for _ in range(2)]
@@ -113,8 +113,8 @@
         await stopping
 
 
-def any_answer(source: random.Random) -> Script:
-    """Return an engine that answers in any way but with an empty success, which may be right."""
+def random_answers(source: random.Random) -> Script:
+    """Return a script of random answers, except an empty success, which may be correct."""
 
     def script(after: int) -> Answer:
         rest = events(after + 1, EVENTS)
@@ -138,8 +138,8 @@
     return script
 
 
-async def one_answer(running: World, path: str, after: int) -> bool:
-    """Read an answer; return whether it is whole, and check that it is what it seems."""
+async def check_answer(running: World, path: str, after: int) -> bool:
+    """Read an answer and check its events; return whether it ended as complete."""
     headers = {"Last-Event-Id": str(after)} if after else {}
     response = await running.call(path, headers=headers)
     body = b""
@@ -158,18 +158,18 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_no_answer_that_ends_as_complete_misses_an_event(seed: int) -> None:
+async def test_answer_that_ends_as_complete_has_every_event(seed: int) -> None:
     source = random.Random(seed)
-    engines = [ScriptedEngine([any_answer(source)]) for _ in range(4)]
+    engines = [ScriptedEngine([random_answers(source)]) for _ in range(4)]
     served = {engine.worker_id: (engine, "model") for engine in engines}
     calls = [("/plainly/x", 0), ("/resumed/x", 0), ("/resumed/x", 4), ("/resumed/x", EVENTS)] * 12
     async with world(configuration(1, ROUTES), served) as running:
-        whole = await asyncio.gather(*(one_answer(running, *call) for call in calls))
+        whole = await asyncio.gather(*(check_answer(running, *call) for call in calls))
     assert any(whole)
 
 
-async def old_answer(running: World, whole: asyncio.Event | None = None) -> tuple[bytes, bool]:
-    """Read a stream by HTTP/1.0, which only its connection ends; return if that was proper."""
+async def http10_answer(running: World, whole: asyncio.Event | None = None) -> tuple[bytes, bool]:
+    """Read a stream over HTTP/1.0; return its body and whether the connection was not reset."""
     async with caller_of(running) as caller:
         head = request_bytes("/plainly/x").replace(b"HTTP/1.1", b"HTTP/1.0")
         caller.writer.write(head)
@@ -184,21 +184,21 @@
         return body.partition(b"\r\n\r\n")[2], True
 
 
-async def test_caller_that_knows_no_chunks_sees_that_a_stream_was_broken() -> None:
+async def test_http10_caller_sees_that_a_stream_failed() -> None:
     served = {"m": (ScriptedEngine([broken_after(4), honest(EVENTS)]), "model")}
     async with world(configuration(1, ROUTES), served) as running:
-        body, ended = await old_answer(running)
+        body, ended = await http10_answer(running)
         assert not ended
         assert events(1, 4).startswith(body)
-        assert await old_answer(running) == (WHOLE, True)
+        assert await http10_answer(running) == (WHOLE, True)
 
 
-async def test_caller_that_knows_no_chunks_sees_that_a_stop_cut_a_stream() -> None:
+async def test_http10_caller_sees_that_a_stop_cut_a_stream() -> None:
     silent: Script = lambda after: Answer(events(1, 4), ending=Ending.SILENCE)  # noqa: E731
     served = {"m": (ScriptedEngine([silent]), "model")}
     async with world(configuration(1, ROUTES), served) as running:
         begun = asyncio.Event()
-        reading = asyncio.create_task(old_answer(running, begun))
+        reading = asyncio.create_task(http10_answer(running, begun))
         await begun.wait()
         await (await stop(running))
         assert await reading == (events(1, 4), False)
--- a/tests/platform/test_stream_wholeness.py
+++ b/tests/platform/test_stream_wholeness.py
@@ -1,18 +1,16 @@
-"""A streamed answer ends as complete only if every event of it came.
+"""A streamed answer ends as complete only if every event of it was sent.
 
-What users saw: on days on which engines failed part of their calls while others crashed, a
-caller got status 200, the first events, and a proper end, and had no way to see that events
-were missing.
+Guards against a truncated stream that looks complete: the caller received status 200, the first
+events and a proper end, and could not see that events were missing.
 
-What happened: the first engine broke off in the middle. The gateway took the stream up at a
-second engine, which failed it: status 500, signed, a whole body. That body was relayed behind
-the events of the first engine, and where it ended the caller's answer was ended as complete.
+The first engine's connection failed in mid-stream. The gateway resumed the stream at a second
+engine, which answered with status 500, signed, with a complete body. That body was relayed after
+the first engine's events, and at its end the caller's answer was ended as complete.
 
-Cause: the end of a body was taken for the end of the stream, whatever the answer was. Proved by
-the log of such a day: the engine that ended the shortened stream had answered with `status` 500,
-`resume_after` 4, `events` 0 and `end` complete, and no stream was shortened without such a line.
-The same belief let a part of an event, an answer without any event, and events from another place
-than asked for pass as complete.
+The cause was that the end of a body counted as the end of the stream, whatever the status. The
+log shows such a case as an engine's answer with `status` 500, `resume_after` 4, `events` 0 and
+`end` complete; every truncated stream had such a line. For the same reason, a partial event, an
+answer without events, and events from another position than requested passed as complete.
 """
 
 import aiohttp
@@ -40,8 +38,8 @@
     return lambda after: Answer(body, status, Framing.LENGTH)
 
 
-async def answer_of(path: str, *scripts: Script, after: str = "") -> tuple[int, bytes, bool]:
-    """Return status, body and wholeness of an answer; engines serve the scripts in turn."""
+async def read_answer(path: str, *scripts: Script, after: str = "") -> tuple[int, bytes, bool]:
+    """Return status, body and completeness of an answer; engines run the scripts in order."""
     turns = list(scripts)
 
     def next_script(position: int) -> Answer:
@@ -62,13 +60,13 @@
 
 
 @pytest.mark.parametrize("status", [500, 504])
-async def test_failure_of_the_engine_that_takes_a_stream_up_does_not_end_it(status: int) -> None:
+async def test_failure_of_the_engine_that_resumes_a_stream_does_not_end_it(status: int) -> None:
     scripts = broken_after(4), failing(status), honest(EVENTS)
-    assert await answer_of("/resumed/x", *scripts) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", *scripts) == (200, WHOLE, True)
 
 
 async def test_stream_whose_engines_all_fail_is_visibly_broken() -> None:
-    assert await answer_of("/resumed/x", broken_after(4), failing()) == (200, events(1, 4), False)
+    assert await read_answer("/resumed/x", broken_after(4), failing()) == (200, events(1, 4), False)
 
 
 ENDS = {
@@ -95,13 +93,13 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-async def test_stream_that_is_not_whole_is_taken_up_elsewhere(end: str) -> None:
-    assert await answer_of("/resumed/x", ENDS[end], honest(EVENTS)) == (200, WHOLE, True)
+async def test_incomplete_stream_is_resumed_at_another_engine(end: str) -> None:
+    assert await read_answer("/resumed/x", ENDS[end], honest(EVENTS)) == (200, WHOLE, True)
 
 
 @pytest.mark.parametrize("end", ENDS)
-async def test_stream_that_is_not_whole_is_visibly_broken(end: str) -> None:
-    status, body, whole = await answer_of("/plainly/x", ENDS[end])
+async def test_incomplete_stream_is_visibly_broken(end: str) -> None:
+    status, body, whole = await read_answer("/plainly/x", ENDS[end])
     assert (status, whole) == (200, False)
     assert WHOLE.startswith(body)
 
@@ -113,46 +111,46 @@
 
 
 @pytest.mark.parametrize("start", FALSE_STARTS)
-async def test_stream_that_does_not_begin_at_its_beginning_is_begun_elsewhere(start: str) -> None:
+async def test_stream_without_its_first_event_is_restarted_at_another_engine(start: str) -> None:
     script = FALSE_STARTS[start]
-    assert await answer_of("/resumed/x", script, honest(EVENTS)) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", script, honest(EVENTS)) == (200, WHOLE, True)
 
 
 @pytest.mark.parametrize("start", FALSE_STARTS)
-async def test_stream_that_does_not_begin_at_its_beginning_is_no_success(start: str) -> None:
-    status, body, whole = await answer_of("/plainly/x", FALSE_STARTS[start])
+async def test_stream_without_its_first_event_is_no_success(start: str) -> None:
+    status, body, whole = await read_answer("/plainly/x", FALSE_STARTS[start])
     assert (status, body.startswith(b"id:")) == (502, False)
     assert whole
 
 
 @pytest.mark.parametrize("first", [1, 4, 6])
-async def test_engine_that_goes_on_from_another_event_than_its_callers_is_left(first: int) -> None:
+async def test_engine_that_resumes_from_a_wrong_event_is_replaced(first: int) -> None:
     wrong: Script = lambda after: Answer(events(first, EVENTS))  # noqa: E731
     expected = (200, events(5, EVENTS), True)
-    assert await answer_of("/resumed/x", wrong, honest(EVENTS), after="4") == expected
+    assert await read_answer("/resumed/x", wrong, honest(EVENTS), after="4") == expected
 
 
-async def test_nothing_is_missing_behind_the_last_event() -> None:
-    assert await answer_of("/resumed/x", honest(EVENTS), after=str(EVENTS)) == (200, b"", True)
+async def test_resume_after_the_last_event_returns_an_empty_answer() -> None:
+    assert await read_answer("/resumed/x", honest(EVENTS), after=str(EVENTS)) == (200, b"", True)
 
 
-async def test_lost_end_behind_the_last_event_is_made_up_for() -> None:
+async def test_lost_end_after_the_last_event_is_recovered() -> None:
     lost_end: Script = lambda after: Answer(WHOLE, ending=Ending.RESET)  # noqa: E731
-    assert await answer_of("/resumed/x", lost_end, honest(EVENTS)) == (200, WHOLE, True)
+    assert await read_answer("/resumed/x", lost_end, honest(EVENTS)) == (200, WHOLE, True)
 
 
-async def test_failure_of_the_first_engine_is_made_up_for_by_another() -> None:
-    assert await answer_of("/resumed/x", failing(), honest(EVENTS)) == (200, WHOLE, True)
+async def test_failure_of_the_first_engine_is_retried_at_another() -> None:
+    assert await read_answer("/resumed/x", failing(), honest(EVENTS)) == (200, WHOLE, True)
 
 
 @pytest.mark.parametrize("path", ["/plainly/x", "/resumed/x"])
-async def test_failure_of_every_engine_goes_back_whole(path: str) -> None:
-    assert await answer_of(path, failing(body=b"no way")) == (500, b"no way", True)
+async def test_failure_of_every_engine_is_returned_complete(path: str) -> None:
+    assert await read_answer(path, failing(body=b"no way")) == (500, b"no way", True)
 
 
-async def test_line_ends_behind_the_last_event_are_no_part_of_one() -> None:
+async def test_line_ends_after_the_last_event_are_no_partial_event() -> None:
     script: Script = lambda after: Answer(WHOLE + b"\n")  # noqa: E731
-    assert await answer_of("/plainly/x", script) == (200, WHOLE + b"\n", True)
+    assert await read_answer("/plainly/x", script) == (200, WHOLE + b"\n", True)
 
 
 async def test_answer_keeps_the_signature_of_the_engine_that_began_it() -> None:
@@ -168,8 +166,8 @@
     assert response.headers[SEAL] == f"seal-{first.worker_id}"
 
 
-async def test_switch_of_protocols_is_no_answer() -> None:
+async def test_protocol_switch_is_no_answer() -> None:
     switch: Script = lambda after: Answer(b"", 101, Framing.CONNECTION)  # noqa: E731
-    assert await answer_of("/resumed/x", switch, honest(EVENTS)) == (200, WHOLE, True)
-    status, _, whole = await answer_of("/plainly/x", switch)
+    assert await read_answer("/resumed/x", switch, honest(EVENTS)) == (200, WHOLE, True)
+    status, _, whole = await read_answer("/plainly/x", switch)
     assert (status, whole) == (502, True)
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: relayed event by event, whole or visibly broken, taken up in one answer."""
+"""Streams are relayed event by event, complete or visibly broken, and resumed in one answer."""
 
 from collections import deque
 
@@ -42,7 +42,7 @@
     return await response.read()
 
 
-async def test_stream_arrives_whole() -> None:
+async def test_stream_arrives_complete() -> None:
     one = StandinWorker(events=9)
     async with world(configuration(1, ROUTES), {"one": (one, "model")}) as running:
         assert event_ids(await body_of(running, "/plainly/x")) == list(range(1, 10))
@@ -57,7 +57,7 @@
     assert len(one.seen) == 1
 
 
-async def test_broken_stream_is_taken_up_elsewhere_within_one_answer() -> None:
+async def test_broken_stream_is_resumed_at_another_engine_within_one_answer() -> None:
     served = {
         "one": (StandinWorker(events=9), "model"),
         "two": (StandinWorker(events=9), "model"),
@@ -97,7 +97,7 @@
     assert set(model.seen[0].headers["X-Corkcrank-Inputs"].split(",")) == rerank.made
 
 
-async def test_results_are_freed_when_the_caller_leaves_while_stages_work() -> None:
+async def test_results_are_freed_when_the_caller_leaves_while_stages_run() -> None:
     import asyncio
 
     gate = asyncio.Event()
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "reset"])
-async def test_pieces_that_were_not_made_are_made_at_another_worker(fault: str) -> None:
+async def test_pieces_that_failed_are_run_at_another_worker(fault: str) -> None:
     first = StandinStageWorker(faults=deque([fault]))
     second = StandinStageWorker(faults=deque([fault]))
     served = {
@@ -130,7 +130,7 @@
         assert event_ids(await body_of(running, "/staged/x", headers=PIECES)) == [1, 2, 3]
 
 
-async def test_pieces_without_room_wait_at_their_owner() -> None:
+async def test_pieces_without_result_memory_wait_at_their_owner() -> None:
     import asyncio
 
     encode = StandinStageWorker(room=0)
@@ -145,7 +145,7 @@
         assert event_ids(await response.read()) == [1, 2, 3]
 
 
-async def test_results_are_made_again_when_a_stream_is_taken_up_elsewhere() -> None:
+async def test_results_are_produced_again_when_a_stream_is_resumed_elsewhere() -> None:
     served = {
         "one": (StandinWorker(events=9), "model"),
         "two": (StandinWorker(events=9), "model"),
