--- a/src/corkcrank/contracts/__init__.py
+++ b/src/corkcrank/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Agreements between tenants, operators and the system."""
+"""Data types shared by all programs: configuration, requests, workers, result codes, settings."""
--- a/src/corkcrank/contracts/node_settings.py
+++ b/src/corkcrank/contracts/node_settings.py
@@ -1,6 +1,6 @@
-"""Settings of a gateway that serves opaque calls, read from TOML and checked.
+"""Reads and validates the TOML settings of a gateway that serves opaque calls.
 
-Times are in seconds. ``corkcrank check`` reads them the same way.
+Times are in seconds. ``corkcrank check`` uses the same functions.
 """
 
 import tomllib
@@ -14,11 +14,11 @@
 
 
 class NodeProcessSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who and where the process is; addresses are ``ip:port``.
+    """Name, zone and addresses of the process; addresses are ``ip:port``.
 
-    ``peer_ports`` are free for what gateways say to each other; the first is used, for
-    calls and datagrams. Metrics and the state dump are served there too, and on
-    ``metrics_port`` if that is not 0.
+    ``peer_ports`` is the range reserved for traffic between gateways. Only the first port is
+    used, for HTTP calls and datagrams. Metrics and the state dump are served there too, and
+    on ``metrics_port`` if that is not 0.
     """
 
     name: str
@@ -31,12 +31,12 @@
 
     @property
     def peer_address(self) -> str:
-        """Return where peers reach this process."""
+        """Return the address at which peers reach this process."""
         return f"{self.ip}:{self.peer_ports[0]}"
 
     @property
     def peer_addresses(self) -> list[str]:
-        """Return every address that peers, metrics and the dump are served on."""
+        """Return every address that serves peer calls, metrics and the state dump."""
         addresses = [self.peer_address]
         if self.metrics_port:
             addresses.append(f"{self.ip}:{self.metrics_port}")
@@ -44,24 +44,25 @@
 
 
 class NodeStoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's store."""
+    """Address of the platform's store and the timeout of one call to it."""
 
     address: str
     timeout: float = 1.0
 
 
 class NodePeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines to begin with; their ports are not used, since ports are alike."""
+    """Initial peer addresses; their ports are ignored, as all gateways use the same ports."""
 
     seeds: tuple[str, ...] = ()
 
 
 class NodeBoundSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operator promises and asks: stop, retries, how soon news is acted upon.
+    """Time limits and retry limits that the operator sets.
 
-    ``leaving`` is the time within which a leaving worker gets no more work,
-    ``configuration`` the time within which an accepted configuration is in force, and
-    ``evacuation`` the time within which workers of an evacuated zone get nothing more.
+    ``grace`` is the time between the stop signal and the end of the process. The next three
+    are the times within which a change in the store takes effect: after ``leaving`` a leaving
+    worker receives no more work, after ``configuration`` an accepted configuration is in
+    force, and after ``evacuation`` workers of an evacuated zone receive nothing more.
     """
 
     grace: float = 8.0
@@ -74,16 +75,16 @@
 
     @property
     def shortest(self) -> float:
-        """Return the time within which any news of the store must be acted upon."""
+        """Return the shortest time within which a change in the store must take effect."""
         return min(self.leaving, self.configuration, self.evacuation)
 
 
 class NodeLimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operating system allows the process; 0 where it is not told.
+    """Resource limits of the process; 0 where a limit is unknown.
 
-    ``file_descriptors`` are those of all files and sockets, ``memory_mb`` is in MiB.
-    ``cpu_share`` is the part of one processor that the process may use, ``cpu_speed`` how many
-    times as fast that processor is as the platform's usual one.
+    ``file_descriptors`` counts all files and sockets, ``memory_mb`` is in MiB. ``cpu_share``
+    is the share of one processor that the process may use. ``cpu_speed`` is the speed of that
+    processor relative to the platform's standard one.
     """
 
     file_descriptors: int = 0
@@ -93,7 +94,7 @@
 
     @property
     def strength(self) -> float:
-        """Return the processor time that the process may use, in usual processors; 0 unknown.
+        """Return the processor capacity of the process, in standard processors; 0 if unknown.
 
         >>> NodeLimitSettings(cpu_share=0.5, cpu_speed=3.0).strength, NodeLimitSettings().strength
         (1.5, 0.0)
@@ -112,7 +113,7 @@
 
 
 def load_node_settings(path: Path) -> Result[NodeSettings, Failure]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -121,7 +122,7 @@
 
 
 def parse_node_settings(text: str, source: str) -> Result[NodeSettings, Failure]:
-    """Check settings given as TOML text.
+    """Parse and validate settings given as TOML text.
 
     >>> parse_node_settings("[process]", "f").error.code.name
     'SETTINGS_INVALID'
@@ -152,7 +153,7 @@
         if not is_address(address):
             return f"expected an address like 10.0.0.1:8080, got {address!r} - at `$.{key}`"
     if process.peer_ports[0] >= process.peer_ports[1]:
-        return "expected two or more ports - at `$.process.peer_ports`"
+        return "expected a range of at least two ports - at `$.process.peer_ports`"
     positive = {
         "store.timeout": settings.store.timeout,
         "bounds.grace": settings.bounds.grace,
@@ -167,5 +168,5 @@
     limits = settings.limits
     numbers = (limits.file_descriptors, limits.memory_mb, limits.cpu_share, limits.cpu_speed)
     if any(number < 0 for number in numbers):
-        return "expected no negative number - at `$.limits`"
+        return "expected no negative numbers - at `$.limits`"
     return ""
--- a/src/corkcrank/contracts/opaque_call.py
+++ b/src/corkcrank/contracts/opaque_call.py
@@ -1,4 +1,4 @@
-"""An opaque call: what corkcrank knows of a request whose body it does not read."""
+"""Types for an opaque call: a request that is forwarded without parsing its body."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixPart:
-    """One part of a prompt that requests may share, and its tokens."""
+    """One part of a prompt that requests may share, and its number of tokens."""
 
     part_id: str
     tokens: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PromptShape:
-    """What a caller tells of its prompt: tokens in, most tokens out, shared parts."""
+    """A caller's description of its prompt: input tokens, maximum output tokens, parts."""
 
     model: str = ""
     tokens_in: int = 0
@@ -32,18 +32,18 @@
 
     @cached_property
     def whole_tokens(self) -> int:
-        """Return the tokens of the whole prompt, as told or as the sum of its parts."""
+        """Return the tokens of the prompt: the stated number or the sum of its parts, if larger."""
         return max(self.tokens_in, sum(part.tokens for part in self.parts))
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnvelope:
-    """The parts of a request's header that decide how it is served.
+    """The values of a request's headers that decide how it is served.
 
-    ``budget_seconds`` is the time the caller will wait. ``piece_counts`` gives the pieces
-    of each stage. ``resume_after`` is the id of the last event the caller has.
-    ``reserved_headers`` names the headers sent that only a gateway may set; they go no
-    further.
+    ``budget_seconds`` is the time for which the caller waits. ``piece_counts`` is the number
+    of pieces of each stage. ``resume_after`` is the id of the last event that the caller
+    received. ``reserved_headers`` names the headers of the request that only a gateway may
+    set; they are not forwarded.
     """
 
     call_id: str
@@ -57,7 +57,7 @@
 
 
 class CallStep(StrEnum):
-    """Where a call is on its way: what it waits for, or who is at work for it."""
+    """The step that a call has reached: what it waits for, or which component processes it."""
 
     UNREAD = "unread"
     PLAIN = "plain"
@@ -67,17 +67,17 @@
     RELAY = "relay"
 
 
-RETURNING_SHARE = 0.97
-"""A caller that gives less of the route's timeout than this has probably come back."""
+MIN_FIRST_ATTEMPT_BUDGET_SHARE = 0.97
+"""Below this share of the route's timeout as its budget, a call is probably a retry."""
 
 
 @dataclass
 class OpaqueCall:
-    """One request of one caller on its way; times are of :mod:`clock`.
+    """One request of one caller in progress; times are of :mod:`clock`.
 
-    ``first_byte_at`` is when the answer began to go back, once it did. ``answer_begun`` says
-    that its head has gone out, ``may_have_run`` that a worker may have begun it: a stage
-    worker that made some of its inputs has not.
+    ``first_byte_at`` is the time at which the answer's first byte was sent to the caller.
+    ``answer_begun`` tells whether the answer's head was sent. ``may_have_run`` tells whether
+    a worker may have started the request itself; running its stages does not count.
     """
 
     envelope: CallEnvelope
@@ -101,23 +101,23 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what this call has in common with every other attempt at the same request."""
+        """Return a hash that is the same for every attempt at the same request."""
         return request_fingerprint(self.tenant, self.target, self.body)
 
     @property
     def call_id(self) -> str:
-        """Return the caller's id of this attempt."""
+        """Return the id that the caller gave to this attempt."""
         return self.envelope.call_id
 
     @property
     def returning(self) -> bool:
-        """Return whether the caller has probably been refused before."""
+        """Return whether this is probably a retry by a caller that was refused before."""
         budget = self.envelope.budget_seconds
-        return budget is not None and budget < RETURNING_SHARE * self.route.timeout
+        return budget is not None and budget < MIN_FIRST_ATTEMPT_BUDGET_SHARE * self.route.timeout
 
     @property
-    def waited_before(self) -> float:
-        """Return the seconds since the first attempt of a caller that has come back."""
+    def seconds_since_first_attempt(self) -> float:
+        """Return the seconds since the caller's first attempt; 0 if this is the first."""
         budget = self.envelope.budget_seconds
         if budget is None or not self.returning:
             return 0.0
@@ -125,9 +125,9 @@
 
     @property
     def objective_at(self) -> float:
-        """Return when the first byte of the answer is due, from the caller's first attempt.
+        """Return when the first byte of the answer is due, counted from the caller's first attempt.
 
-        Counted from the attempt, callers that come back would take stage workers from others
-        that can still be served in time.
+        If it were counted from the current attempt, retrying callers would take stage workers
+        from callers that can still be served in time.
         """
-        return self.arrived_at - self.waited_before + self.route.objective
+        return self.arrived_at - self.seconds_since_first_attempt + self.route.objective
--- a/src/corkcrank/contracts/opaque_configuration.py
+++ b/src/corkcrank/contracts/opaque_configuration.py
@@ -1,8 +1,8 @@
 """Configuration of opaque calls: routes, stage graphs, service capacities, tenants' keys.
 
-An opaque call is an HTTP request that corkcrank passes on without reading its body. Its
-route names the service that answers it and the stages that must be finished first. All
-times are in seconds, all sizes in bytes.
+An opaque call is an HTTP request that corkcrank forwards without parsing its body. Its
+route names the service that answers it and the stages that must finish first. All times
+are in seconds, all sizes in bytes.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class CallKind(StrEnum):
-    """What may be repeated, and whether the answer is a series of events."""
+    """Whether a call may run more than once, and whether its answer is an event stream."""
 
     REPEATABLE = "repeatable"
     UNREPEATABLE = "unrepeatable"
@@ -24,7 +24,7 @@
 
 
 class StageDefinition(msgspec.Struct, frozen=True):
-    """Work that must be finished before a call runs; ``after`` lists stage numbers."""
+    """A stage that must finish before a call runs; ``after`` lists the stages it depends on."""
 
     service: str
     after: tuple[int, ...] = ()
@@ -39,7 +39,7 @@
 
 
 class OpaqueRoute(msgspec.Struct, frozen=True):
-    """Where calls of one host and path prefix go, and what may be done with them."""
+    """Services, limits and retry rules for calls with one host and path prefix."""
 
     name: str
     host: str
@@ -62,7 +62,7 @@
         return self.kind is CallKind.REPEATABLE or (self.kind is CallKind.STREAM and self.resumable)
 
     def service_for(self, call_id: str) -> str:
-        """Return the service of one call; the split is stable for a call id.
+        """Return the service for one call; the same call id always gives the same service.
 
         >>> route = OpaqueRoute("r", "h", "/", CallKind.REPEATABLE,
         ...     (WeightedService("a", 1.0), WeightedService("b", 0.0)), 1.0, 1.0)
@@ -82,7 +82,7 @@
 
 
 class StageCapacity(msgspec.Struct, frozen=True):
-    """What one stage worker can do, as its operator states it."""
+    """Capacity of one stage worker, as configured by the operator."""
 
     slots: int
     queue: int
@@ -94,17 +94,17 @@
 
     @property
     def pieces_a_second(self) -> float:
-        """Return what one worker makes with full batches."""
+        """Return how many pieces a second one worker completes with full batches."""
         return self.slots * self.batch / self.full_call_seconds if self.full_call_seconds else 0.0
 
     @property
     def full_call_seconds(self) -> float:
-        """Return the usual time of a call with a full batch."""
+        """Return the expected duration of a call with a full batch."""
         return self.call_seconds + self.batch * self.piece_seconds
 
 
 class EngineCapacity(msgspec.Struct, frozen=True):
-    """What one model engine can hold."""
+    """Capacity of one model engine."""
 
     slots: int
     cache_tokens: int
@@ -113,8 +113,8 @@
 class ServiceProfile(msgspec.Struct, frozen=True):
     """One service; ``stage`` and ``engine`` are absent for plain services.
 
-    A worker of it that is warming up bears ``warmup_rate`` requests a second (0: as many as
-    ever), after a start for ``warmup_seconds``.
+    A worker that is warming up should receive at most ``warmup_rate`` requests a second (0: no
+    limit). After a start this takes ``warmup_seconds``.
     """
 
     name: str
@@ -127,7 +127,7 @@
 
 
 class KeyedTenant(msgspec.Struct, frozen=True):
-    """A tenant, its keys, and the rank that it pays for (0 goes first)."""
+    """A tenant, its keys, and the rank that it pays for (0 is served first)."""
 
     name: str
     keys: tuple[str, ...]
@@ -135,7 +135,7 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    """Bounds on what callers may send and how long a connection may rest."""
+    """Size and time limits for requests, and the idle timeout of connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 << 20
@@ -144,7 +144,7 @@
 
 
 class OpaqueConfiguration(msgspec.Struct, frozen=True, dict=True):
-    """One committed version of everything above."""
+    """One committed version of the routes, services, limits and tenants."""
 
     version: int
     routes: tuple[OpaqueRoute, ...] = ()
@@ -157,7 +157,7 @@
         by_host: dict[str, list[OpaqueRoute]] = {}
         for route in self.routes:
             by_host.setdefault(route.host.lower(), []).append(route)
-        return {host: _longest_first(routes) for host, routes in by_host.items()}
+        return {host: _longest_prefix_first(routes) for host, routes in by_host.items()}
 
     @cached_property
     def _tenants_by_key(self) -> dict[str, KeyedTenant]:
@@ -168,7 +168,7 @@
         return {service.name: service for service in self.services}
 
     def route_for(self, host: str, path: str) -> OpaqueRoute | None:
-        """Return the route of ``host`` whose prefix begins ``path`` and is longest.
+        """Return the route of ``host`` with the longest prefix that matches ``path``.
 
         >>> weights = (WeightedService("s", 1.0),)
         >>> short = OpaqueRoute("short", "h", "/a/", CallKind.REPEATABLE, weights, 1.0, 1.0)
@@ -184,12 +184,12 @@
         return None
 
     def tenant_for(self, key: str) -> KeyedTenant | None:
-        """Return the tenant that holds ``key``."""
+        """Return the tenant to which ``key`` belongs."""
         return self._tenants_by_key.get(key)
 
     @property
     def has_tenants(self) -> bool:
-        """Return whether calls need a key at all."""
+        """Return whether any tenant is configured; without one, calls need no key."""
         return bool(self.tenants)
 
     @cached_property
@@ -204,9 +204,10 @@
         return shortest
 
     def shortest_pause(self, service: str) -> float | None:
-        """Return the pause between events, in seconds, beyond which a service's streams are late.
+        """Return the shortest pause objective of a service's routes, in seconds.
 
-        ``None`` where no route states one.
+        A longer pause between events makes a stream of the service late. ``None`` where no
+        route sets an objective.
         """
         return self._shortest_pauses.get(service)
 
@@ -215,5 +216,5 @@
         return self._services_by_name.get(name)
 
 
-def _longest_first(routes: Iterable[OpaqueRoute]) -> tuple[OpaqueRoute, ...]:
+def _longest_prefix_first(routes: Iterable[OpaqueRoute]) -> tuple[OpaqueRoute, ...]:
     return tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
--- a/src/corkcrank/contracts/result_codes.py
+++ b/src/corkcrank/contracts/result_codes.py
@@ -1,6 +1,6 @@
 """Numbered result codes shared by every program.
 
-``docs/RESULT-CODES.md`` lists the same table; a test holds the two equal.
+``docs/RESULT-CODES.md`` lists the same table; a test checks that the two are equal.
 """
 
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class Ran(StrEnum):
-    """What the caller may conclude about the effect of a request."""
+    """Whether a request ran, as far as the gateway knows."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -26,7 +26,7 @@
 
 
 class ResultCode(Enum):
-    """Every result code with its HTTP status and run state."""
+    """Every result code, with its number, HTTP status, run state and summary."""
 
     OK = CodeEntry(1000, 200, Ran.YES, "Answered whole.")
 
@@ -121,7 +121,7 @@
 
     @property
     def ran(self) -> Ran:
-        """Return what the caller may conclude about the effect."""
+        """Return whether a request with this result ran, as far as the gateway knows."""
         return self.value.ran
 
     @property
@@ -141,9 +141,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A typed error: a result code, a short detail and when to come back.
+    """A typed error: a result code, a short detail and the delay before a retry.
 
-    ``retry_after`` is in seconds; ``None`` means that retrying does not help.
+    ``retry_after`` is in seconds; ``None`` means that a retry does not help.
     """
 
     code: ResultCode
--- a/src/corkcrank/contracts/urgency.py
+++ b/src/corkcrank/contracts/urgency.py
@@ -1,20 +1,20 @@
-"""The order in which pieces of work are served."""
+"""Priority of work: by rank first, then by due time."""
 
 import msgspec
 
 Rank = tuple[int, int]
-"""A tenant's rank and a route's, 0 the most urgent."""
+"""The tenant's rank and the route's rank; 0 is the most urgent."""
 
 
-ROUTE_RANK_SECONDS = 0.25
-"""Time by which a begun call counts as due later for each rank of its route."""
+ROUTE_RANK_DELAY_SECONDS = 0.25
+"""Seconds added to the due time of an admitted call for each rank of its route."""
 
 
 class Urgency(msgspec.Struct, frozen=True, order=True):
-    """Rank first, then the earliest due.
+    """Sort key of work: the lowest rank first, then the earliest due time.
 
     ``rank`` is the tenant's and then the route's, 0 the most urgent. ``due`` is when the
-    work should have ended: on the own clock, or in seconds from now between processes.
+    work should be finished: on the local clock, or in seconds from now in messages.
 
     >>> Urgency((0, 1), 9.0) < Urgency((0, 2), 1.0)
     True
@@ -24,16 +24,16 @@
     due: float
 
     def on_clock(self, now: float) -> "Urgency":
-        """Return an urgency told in seconds from now as one on the own clock."""
+        """Convert an urgency in seconds from now to the local clock."""
         return Urgency(self.rank, now + self.due)
 
 
 def begun_rank(rank: Rank) -> Rank:
-    """Return the rank of a call at a stage that reads an earlier one's results.
+    """Return the rank of a call at a stage that reads results of an earlier stage.
 
-    Only calls that were admitted come there, and what was made for them is lost if they are
-    passed by others until they are late: of one tenant's calls, whichever is due first goes
-    first, a less urgent route's as if it were due a little later.
+    Only admitted calls reach such a stage, and their finished work is wasted if other calls
+    overtake them until they are late. Calls of one tenant are therefore served by due time;
+    a less urgent route only adds a small delay to it.
 
     >>> begun_rank((1, 2))
     (1, 0)
@@ -42,12 +42,12 @@
 
 
 def begun_urgency(urgency: Urgency) -> Urgency:
-    """Return the urgency of a call at a stage that reads an earlier one's results.
+    """Return the urgency of a call at a stage that reads results of an earlier stage.
 
     >>> begun_urgency(Urgency((1, 0), 2.0)) < begun_urgency(Urgency((1, 2), 1.9))
     True
     >>> begun_urgency(Urgency((1, 2), 1.0)) < begun_urgency(Urgency((1, 0), 2.0))
     True
     """
-    later = ROUTE_RANK_SECONDS * urgency.rank[1]
+    later = ROUTE_RANK_DELAY_SECONDS * urgency.rank[1]
     return Urgency(begun_rank(urgency.rank), urgency.due + later)
--- a/src/corkcrank/contracts/worker_records.py
+++ b/src/corkcrank/contracts/worker_records.py
@@ -1,4 +1,4 @@
-"""The workers that the platform's list names."""
+"""The workers that the platform lists, indexed by name, incarnation and service."""
 
 from collections.abc import Iterable
 from functools import cached_property
@@ -7,16 +7,16 @@
 
 
 class WorkerRecord(msgspec.Struct, frozen=True, dict=True, omit_defaults=True):
-    """One incarnation of one worker; ``revision`` is that of its row.
+    """One incarnation of one worker; ``revision`` is that of its row in the store.
 
-    ``name`` is the key of the row and what the worker answers to; it may outlive a restart.
-    ``born`` is the Unix time of the incarnation's start in milliseconds, ``None`` where the
-    platform does not tell it. ``warmup`` are the seconds for which the worker was still to warm
-    up when it wrote its entry.
+    ``name`` is the key of the row and the name that the worker expects in requests; a
+    restarted worker may keep it. ``born`` is the Unix time of the incarnation's start in
+    milliseconds, ``None`` where the platform does not state it. ``warmup`` is the remaining
+    warm-up time in seconds when the worker wrote its entry.
     """
 
-    # Told to peers as "worker_id", the key that the rest of a fleet reads while a rolling
-    # restart puts this build in the place of one that knew no incarnations.
+    # Encoded for peers as "worker_id": during a rolling upgrade the other gateways still run
+    # a build without incarnations, which reads that key.
     name: str = msgspec.field(name="worker_id")
     service: str
     address: str
@@ -29,10 +29,10 @@
 
     @cached_property
     def worker_id(self) -> str:
-        """Return what tells this incarnation from every other one.
+        """Return the id of this incarnation, which no other incarnation shares.
 
-        All state about a worker is kept by this id, so that a restart under the same name
-        inherits nothing. No name holds a space, so no two incarnations share an id.
+        All state about a worker is keyed by this id, so that a worker restarted under the same
+        name inherits no state. Names contain no spaces, so ids are unique.
 
         >>> WorkerRecord("w", "s", "", "").worker_id
         'w'
@@ -43,11 +43,11 @@
 
 
 class WorkerList:
-    """Every worker known, by service: at most one incarnation of each name.
+    """All known workers: at most one incarnation of each name.
 
-    ``revision`` is the state of the list that is known whole. Rows may be newer: a row is
-    only replaced by a newer one of its own, whatever the order in which they are told.
-    ``evacuated`` are the zones whose workers may be given nothing.
+    ``revision`` is the store revision up to which the list is complete. Single rows may be
+    newer: a row is only replaced by a newer version of itself, so that reports may arrive in
+    any order. ``evacuated`` is the set of zones whose workers may receive nothing.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the zones whose workers may be given nothing."""
+        """Return the zones whose workers may receive nothing."""
         return self._evacuated
 
     @evacuated.setter
@@ -72,13 +72,13 @@
         self._usable.clear()
 
     def accepts_work(self, record: WorkerRecord) -> bool:
-        """Return whether a listed worker may be given new work: no other way leads to one."""
+        """Return whether a listed worker may receive new work; all selection uses this check."""
         return not record.leaving and record.zone not in self._evacuated
 
     def replace_all(self, records: Iterable[WorkerRecord], revision: int) -> None:
-        """Take the whole list as of ``revision``, but for rows known to be newer than that.
+        """Replace the list by the one as of ``revision``, except for rows known to be newer.
 
-        A list that is older than what is known whole changes nothing.
+        A list older than the revision up to which this one is complete is ignored.
         """
         if revision < self.revision:
             return
@@ -93,10 +93,10 @@
         self._indexed = False
 
     def apply_row(self, name: str, record: WorkerRecord | None, revision: int) -> bool:
-        """Take one changed row, ``None`` if it is gone; return whether it was newer.
+        """Apply one changed row, ``None`` if it was removed; return whether it was newer.
 
-        What the list is whole up to is known, also of rows that are gone by then: an older
-        change that is told late would bring a worker back.
+        Changes at or before the revision up to which the list is complete are ignored, also for
+        rows removed by then: an older change that arrives late would restore a removed worker.
         """
         if revision <= max(self.revision, self._row_revisions.get(name, 0)):
             return False
@@ -111,13 +111,13 @@
         return True
 
     def forget_changes_before(self, revision: int) -> None:
-        """Note that a whole list was read: it does not show what had gone before it."""
+        """Record that a full list was read: it does not show which rows were removed before."""
         self._changes_known_from = revision
 
     def changes_since(self, revision: int) -> list[tuple[str, int, WorkerRecord | None]] | None:
         """Return the rows that changed after a revision: name, revision, and record or ``None``.
 
-        ``None`` where a whole list was read since.
+        ``None`` if a full list was read since, as the removals before it are unknown.
         """
         if revision < self._changes_known_from:
             return None
@@ -128,37 +128,37 @@
         ]
 
     def whole_up_to(self, revision: int) -> None:
-        """Note that every change up to ``revision`` was taken."""
+        """Record that every change up to ``revision`` was applied."""
         self.revision = max(self.revision, revision)
 
     def get(self, worker_id: str) -> WorkerRecord | None:
-        """Return an incarnation that is still listed."""
+        """Return the incarnation with this id, ``None`` if it is not listed any more."""
         return self._by_id.get(worker_id)
 
     def named(self, name: str) -> WorkerRecord | None:
-        """Return the incarnation that is listed under a name."""
+        """Return the incarnation listed under a name, ``None`` if there is none."""
         return self._records.get(name)
 
     def replaced(self, record: WorkerRecord) -> bool:
-        """Return whether another incarnation of a worker is listed: this one has ended."""
+        """Return whether another incarnation of the worker is listed: this one has exited."""
         listed = self._records.get(record.name)
         return listed is not None and listed.worker_id != record.worker_id
 
     def of_service(self, service: str) -> tuple[WorkerRecord, ...]:
-        """Return the listed workers of a service, leaving ones too."""
+        """Return the listed workers of a service, including leaving ones."""
         if not self._indexed:
             self._reindex()
         return self._by_service.get(service, ())
 
     def usable(self, service: str) -> tuple[WorkerRecord, ...]:
-        """Return the workers that may be given new work; the same object until one changes."""
-        return self._usable_of(service, None)
+        """Return the workers that may receive new work; the same object until one changes."""
+        return self._usable_records(service, None)
 
     def usable_in(self, service: str, zone: str) -> tuple[WorkerRecord, ...]:
-        """Return those of a zone; the same object until a worker changes."""
-        return self._usable_of(service, zone)
+        """Return the usable workers in a zone; the same object until a worker changes."""
+        return self._usable_records(service, zone)
 
-    def _usable_of(self, service: str, zone: str | None) -> tuple[WorkerRecord, ...]:
+    def _usable_records(self, service: str, zone: str | None) -> tuple[WorkerRecord, ...]:
         records = self.of_service(service)
         usable = self._usable.get((service, zone))
         if usable is None:
--- a/src/corkcrank/contracts/zone_evacuations.py
+++ b/src/corkcrank/contracts/zone_evacuations.py
@@ -1,9 +1,9 @@
-"""Zones whose workers the operator wants nothing sent to, as members tell them to each other.
+"""Zones that the operator evacuated: their workers must receive nothing.
 
-The operator's row of a zone stands for its evacuation, whatever the row holds. A zone's state
-carries the store's revision of the row, so that states may be told twice and in any order:
-the newer one stands. What was taken back is remembered, since a member that missed it would
-otherwise tell of the evacuation again.
+A zone is evacuated while its row exists in the store, whatever the row contains. Members report
+zone states to each other. A state carries the store's revision of the row, so that reports may
+arrive twice and in any order: the newest one counts. Ended evacuations are kept, since a member
+that missed the end would otherwise report the evacuation again.
 """
 
 from collections.abc import Iterable
@@ -11,11 +11,11 @@
 import msgspec
 
 MOST_ZONES = 64
-"""Zones whose state is kept; what was taken back longest ago is forgotten first."""
+"""Maximum number of stored zone states; the evacuations that ended first are removed first."""
 
 
 class ZoneState(msgspec.Struct, frozen=True, array_like=True):
-    """Whether a zone is evacuated, as of a revision of the store."""
+    """Whether a zone is evacuated as of a store revision."""
 
     zone: str
     revision: int
@@ -23,7 +23,7 @@
 
 
 class ZoneEvacuations:
-    """The newest state known of each zone that was ever evacuated.
+    """The newest known state of each zone that was ever evacuated.
 
     >>> zones = ZoneEvacuations()
     >>> zones.take([ZoneState("a", 5, True)])
@@ -38,20 +38,20 @@
         self.evacuated: frozenset[str] = frozenset()
 
     def take(self, states: Iterable[ZoneState]) -> tuple[ZoneState, ...]:
-        """Take states in any order; return those by which a zone changed.
+        """Apply states in any order; return those that changed whether a zone is evacuated.
 
-        A state as old as the last whole reading says nothing new: that reading held it, or
-        the zone had been taken back by then.
+        A state as old as the last full read is ignored: either that read included it, or the
+        evacuation had ended by then.
         """
         changed = []
         for state in states:
-            if state.revision > max(self._read_revision, self._revision_of(state.zone)):
-                changed += self._put(state)
-        self._summarise()
+            if state.revision > max(self._read_revision, self._known_revision(state.zone)):
+                changed += self._store_state(state)
+        self._update_evacuated()
         return tuple(changed)
 
     def replace_all(self, listed: Iterable[ZoneState], revision: int) -> tuple[ZoneState, ...]:
-        """Take every row there is as of ``revision``; zones without one are taken back."""
+        """Apply a full read as of ``revision``; zones without a row are no longer evacuated."""
         rows = {state.zone: state for state in listed if state.evacuated}
         missing = [
             ZoneState(known.zone, revision, evacuated=False)
@@ -60,28 +60,28 @@
         ]
         changed = []
         for state in [*rows.values(), *missing]:
-            if state.revision >= self._revision_of(state.zone):
-                changed += self._put(state)
+            if state.revision >= self._known_revision(state.zone):
+                changed += self._store_state(state)
         self._read_revision = max(self._read_revision, revision)
-        self._summarise()
+        self._update_evacuated()
         return tuple(changed)
 
     def told(self) -> tuple[ZoneState, ...]:
-        """Return what heartbeats tell, the same for all members that know the same."""
+        """Return the states for heartbeats, in an order that is the same at all members."""
         return tuple(self._states[zone] for zone in sorted(self._states))
 
-    def _revision_of(self, zone: str) -> int:
+    def _known_revision(self, zone: str) -> int:
         known = self._states.get(zone)
         return known.revision if known is not None else 0
 
-    def _put(self, state: ZoneState) -> list[ZoneState]:
-        """Keep a state; return it if the zone is another now."""
+    def _store_state(self, state: ZoneState) -> list[ZoneState]:
+        """Store a state; return it in a list if it changed whether the zone is evacuated."""
         known = self._states.get(state.zone)
         self._states[state.zone] = state
         was_evacuated = known is not None and known.evacuated
         return [state] if state.evacuated != was_evacuated else []
 
-    def _summarise(self) -> None:
+    def _update_evacuated(self) -> None:
         while len(self._states) > MOST_ZONES:
             oldest = min(self._states.values(), key=lambda state: (state.evacuated, state.revision))
             del self._states[oldest.zone]
--- a/src/corkcrank/platform/__init__.py
+++ b/src/corkcrank/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides anything."""
+"""Adapter for the users' platform: its names, formats and calls, without any decisions."""
--- a/src/corkcrank/platform/call_headers.py
+++ b/src/corkcrank/platform/call_headers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as the platform writes them."""
+"""Reads and writes the headers of requests and answers in the platform's format."""
 
 from collections.abc import Mapping, Sequence
 
@@ -7,21 +7,21 @@
 from corkcrank.links.platform_ports import AnswerHead, HeaderList
 from corkcrank.platform import names
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
-MAXIMUM_PIECES = 10_000
-"""Most stage pieces of one call; more would cost a gateway its memory."""
+MAX_PIECES = 10_000
+"""Maximum number of stage pieces of one call; more could exhaust a gateway's memory."""
 
-MAXIMUM_TOKENS = 1 << 31
-"""Most tokens of a prompt or of one of its parts."""
+MAX_TOKENS = 1 << 31
+"""Maximum number of tokens of a prompt or of one of its parts."""
 
-LONGEST_NUMBER = 20
-"""Longest text of a whole number."""
+MAX_NUMBER_CHARACTERS = 20
+"""Maximum length of a whole number in a header, in characters."""
 
-LONGEST_BUDGET_SECONDS = 86_400.0
-"""Longest time that a caller may say it waits."""
+MAX_BUDGET_SECONDS = 86_400.0
+"""Maximum time that a caller may state it waits."""
 
-ONE_CONNECTION_ONLY = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -36,14 +36,14 @@
         "expect",
     )
 )
-"""Headers that concern a single connection (RFC 9110, 7.6.1) or are written anew."""
+"""Headers that apply to a single connection (RFC 9110, 7.6.1) or are generated again."""
 
 
 class PlatformCallCodec:
-    """Reads callers' heads and workers' answers, and writes the heads for workers."""
+    """Reads headers of callers and of workers' answers, and writes headers for workers."""
 
     def read_envelope(self, headers: Mapping[str, str]) -> CallEnvelope | str:
-        """Return what a caller's head tells, or what is wrong with it."""
+        """Return the envelope from a caller's headers, or the reason why they are invalid."""
         try:
             return _read_envelope(headers)
         except ValueError as error:
@@ -57,9 +57,11 @@
         inputs: Sequence[str] | None,
         resume_after: str,
     ) -> HeaderList:
-        """Return the head of the request that goes to a worker."""
-        headers = passed_on(call.headers, names.RESERVED | names.REPLACED)
-        headers.append((names.DEADLINE_MS, str(max(1, int(remaining_seconds * MILLISECONDS)))))
+        """Return the headers of the request to a worker."""
+        headers = proxied_headers(call.headers, names.RESERVED_HEADERS | names.CONSUMED_HEADERS)
+        headers.append(
+            (names.DEADLINE_MS, str(max(1, int(remaining_seconds * MILLISECONDS_PER_SECOND))))
+        )
         headers.append((names.EXPECT_INSTANCE, worker.name))
         if call.tenant:
             headers.append((names.TENANT, call.tenant))
@@ -70,7 +72,7 @@
         return headers
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerHead:
-        """Return what the head of a worker's answer tells."""
+        """Return the values from the headers of a worker's answer."""
         return AnswerHead(
             call_id=headers.get(names.ATTEMPT_ID, ""),
             sealed=names.SEAL in headers,
@@ -81,34 +83,35 @@
         )
 
     def answer_headers(self, headers: Sequence[tuple[str, str]]) -> HeaderList:
-        """Return the headers of a worker's answer that go back to the caller."""
-        return passed_on(headers, frozenset())
+        """Return the headers of a worker's answer that are forwarded to the caller."""
+        return proxied_headers(headers, frozenset())
 
 
-def passed_on(headers: Sequence[tuple[str, str]], without: frozenset[str]) -> HeaderList:
-    """Return the headers that do not concern one connection only.
+def proxied_headers(headers: Sequence[tuple[str, str]], excluded: frozenset[str]) -> HeaderList:
+    """Return the headers to forward: those that do not apply to a single connection.
 
-    Names in ``without`` are in lower case with hyphens; an underscore counts as a hyphen.
+    ``excluded`` names more headers to drop, in lower case with hyphens. Underscores in header
+    names count as hyphens.
 
-    >>> passed_on([("Connection", "x-a"), ("X-A", "1"), ("B", "2"), ("TE", "t")], frozenset())
+    >>> proxied_headers([("Connection", "x-a"), ("X-A", "1"), ("B", "2"), ("TE", "t")], frozenset())
     [('B', '2')]
-    >>> passed_on([("X_Own", "1"), ("B", "2")], frozenset(["x-own"]))
+    >>> proxied_headers([("X_Own", "1"), ("B", "2")], frozenset(["x-own"]))
     [('B', '2')]
     """
-    dropped = set(without)
+    dropped = set(excluded)
     for name, value in headers:
         if name.lower() == "connection":
-            listed = {_plain_name(token.strip()) for token in value.split(",")}
-            dropped.update(listed - names.KEPT)
+            listed = {_normalized_name(token.strip()) for token in value.split(",")}
+            dropped.update(listed - names.PROTECTED_HEADERS)
     return [
         (name, value)
         for name, value in headers
-        if _plain_name(name) not in dropped and name.lower() not in ONE_CONNECTION_ONLY
+        if _normalized_name(name) not in dropped and name.lower() not in HOP_BY_HOP_HEADERS
     ]
 
 
-def _plain_name(name: str) -> str:
-    """Return a header's name as lenient workers compare it."""
+def _normalized_name(name: str) -> str:
+    """Return a header name as lenient workers compare it: lower case, ``_`` as ``-``."""
     return name.lower().replace("_", "-")
 
 
@@ -122,7 +125,7 @@
         piece_key=headers.get(names.SEGMENT_KEY, ""),
         resume_after=headers.get(names.LAST_EVENT_ID, ""),
         reserved_headers=tuple(
-            sorted({_plain_name(name) for name in headers} & names.RESERVED),
+            sorted({_normalized_name(name) for name in headers} & names.RESERVED_HEADERS),
         ),
     )
 
@@ -131,9 +134,9 @@
     text = headers.get(names.DEADLINE_MS)
     if not text:
         return None
-    budget = float(text) / MILLISECONDS
-    if not 0 <= budget <= LONGEST_BUDGET_SECONDS:
-        raise ValueError(f"{names.DEADLINE_MS} is {text[:40]!r}")
+    budget = float(text) / MILLISECONDS_PER_SECOND
+    if not 0 <= budget <= MAX_BUDGET_SECONDS:
+        raise ValueError(f"{names.DEADLINE_MS} is {text[:40]!r}, not a time in range")
     return budget
 
 
@@ -141,9 +144,9 @@
     text = headers.get(names.SEGMENTS, "")
     if not text:
         return ()
-    counts = tuple(_read_count(item, names.SEGMENTS, MAXIMUM_PIECES) for item in text.split(","))
-    if sum(counts) > MAXIMUM_PIECES:
-        raise ValueError(f"{names.SEGMENTS} asks for over {MAXIMUM_PIECES} pieces")
+    counts = tuple(_read_count(item, names.SEGMENTS, MAX_PIECES) for item in text.split(","))
+    if sum(counts) > MAX_PIECES:
+        raise ValueError(f"{names.SEGMENTS} asks for more than {MAX_PIECES} pieces")
     return counts
 
 
@@ -153,23 +156,23 @@
     parts = []
     for item in prefix.split(",") if prefix else ():
         part_id, _, count = item.strip().partition(":")
-        parts.append(PrefixPart(part_id, _read_count(count, names.PREFIX, MAXIMUM_TOKENS)))
+        parts.append(PrefixPart(part_id, _read_count(count, names.PREFIX, MAX_TOKENS)))
     tokens_out = tokens[1] if len(tokens) > 1 else "0"
     return PromptShape(
         model=headers.get(names.MODEL, ""),
-        tokens_in=_read_count(tokens[0], names.TOKEN_COUNT, MAXIMUM_TOKENS),
-        tokens_out=_read_count(tokens_out, names.TOKEN_COUNT, MAXIMUM_TOKENS),
+        tokens_in=_read_count(tokens[0], names.TOKEN_COUNT, MAX_TOKENS),
+        tokens_out=_read_count(tokens_out, names.TOKEN_COUNT, MAX_TOKENS),
         parts=tuple(parts),
     )
 
 
-def _read_count(text: str, name: str, most: int) -> int:
-    """Return a whole number from 0 to ``most``; raises ``ValueError`` with the header's name."""
-    if len(text) <= LONGEST_NUMBER and text.strip().isascii() and text.strip().isdigit():
+def _read_count(text: str, name: str, maximum: int) -> int:
+    """Return a whole number from 0 to ``maximum``; raises ``ValueError`` naming the header."""
+    if len(text) <= MAX_NUMBER_CHARACTERS and text.strip().isascii() and text.strip().isdigit():
         count = int(text)
-        if count <= most:
+        if count <= maximum:
             return count
-    raise ValueError(f"{name} has {text[:40]!r}, not a number from 0 to {most}")
+    raise ValueError(f"{name} has {text[:40]!r}, not a number from 0 to {maximum}")
 
 
 def _read_load(text: str) -> tuple[int, int, int] | None:
--- a/src/corkcrank/platform/documents.py
+++ b/src/corkcrank/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the workers' entries as they lie in the store."""
+"""Decodes the operator's configuration and the workers' entries from rows of the store."""
 
 from collections.abc import Sequence
 
@@ -20,11 +20,11 @@
 from corkcrank.contracts.zone_evacuations import ZoneState
 from corkcrank.links.platform_ports import StoreRow, Unreadable
 from corkcrank.platform import names
-from corkcrank.platform.call_headers import MILLISECONDS
+from corkcrank.platform.call_headers import MILLISECONDS_PER_SECOND
 from corkcrank.platform.strict_json import decode_strictly
 from corkcrank.platform.worker_entries import read_worker
 
-MEGABYTE = 1_000_000
+BYTES_PER_MEGABYTE = 1_000_000
 
 _KINDS = {
     "safe": CallKind.REPEATABLE,
@@ -109,12 +109,13 @@
 
 
 class PlatformDocumentCodec:
-    """Reads rows of the store into corkcrank's own types."""
+    """Converts rows of the store into corkcrank's own types."""
 
     def configuration(self, rows: Sequence[StoreRow]) -> OpaqueConfiguration | str | None:
-        """Return the newest configuration among rows; ``None`` if there is none, or what is wrong.
+        """Return the newest configuration among rows, or the reason why it is unreadable.
 
-        One answer of the feed may hold several changes of the same row.
+        ``None`` if no row holds one. One answer of the feed may contain several changes of the
+        same row.
         """
         newest = max(
             (row for row in rows if row.key == names.CONFIGURATION_KEY and row.value is not None),
@@ -127,14 +128,14 @@
         if isinstance(document, Unreadable):
             return document.reason
         try:
-            return _configuration(document)
+            return _to_configuration(document)
         except KeyError as error:
             return str(error)
 
     def zone_states(self, rows: Sequence[StoreRow]) -> tuple[ZoneState, ...]:
-        """Return which zones the operator evacuates or takes back, the last row of each.
+        """Return the state of each zone with a row among these; its last row counts.
 
-        The row alone says it: one whose value cannot be read stands for an evacuation too.
+        A zone is evacuated while its row exists, even if the value of the row is unreadable.
         """
         states = {}
         for row in rows:
@@ -144,16 +145,16 @@
         return tuple(states.values())
 
     def worker(self, row: StoreRow) -> WorkerRecord | Unreadable | None:
-        """Return the worker of a row, ``None`` where it is gone, or why it names none."""
+        """Return the worker of a row, ``None`` if the row was removed, or why it is invalid."""
         return read_worker(row)
 
 
-def _configuration(document: _Configuration) -> OpaqueConfiguration:
+def _to_configuration(document: _Configuration) -> OpaqueConfiguration:
     return OpaqueConfiguration(
         version=document.version,
-        routes=tuple(_route(route) for route in document.routes),
-        services=tuple(_service(service) for service in document.services),
-        limits=_limits(document.limits),
+        routes=tuple(_to_route(route) for route in document.routes),
+        services=tuple(_to_service(service) for service in document.services),
+        limits=_to_limits(document.limits),
         tenants=tuple(
             KeyedTenant(tenant.name, tenant.api_keys, tenant.priority)
             for tenant in document.tenants
@@ -161,7 +162,7 @@
     )
 
 
-def _route(route: _Route) -> OpaqueRoute:
+def _to_route(route: _Route) -> OpaqueRoute:
     weighted = tuple(WeightedService(item.service, item.weight) for item in route.weighted_services)
     pause = route.target_gap_ms
     return OpaqueRoute(
@@ -170,14 +171,14 @@
         path_prefix=route.path_prefix,
         kind=_KINDS[route.route_type],
         services=weighted or (WeightedService(route.service, 1.0),),
-        timeout=route.timeout_ms / MILLISECONDS,
-        objective=route.target_latency_ms / MILLISECONDS,
+        timeout=route.timeout_ms / MILLISECONDS_PER_SECOND,
+        objective=route.target_latency_ms / MILLISECONDS_PER_SECOND,
         maximum_attempts=max(1, route.max_attempts),
         rank=route.priority,
         needs_key=not route.anonymous,
         resumable=route.stream_resume,
         session_affinity=route.session_affinity,
-        pause_objective=None if pause is None else pause / MILLISECONDS,
+        pause_objective=None if pause is None else pause / MILLISECONDS_PER_SECOND,
         stages=tuple(
             StageDefinition(stage.service, stage.since_revision, int(stage.byte_length))
             for stage in route.stages
@@ -185,7 +186,7 @@
     )
 
 
-def _service(service: _Service) -> ServiceProfile:
+def _to_service(service: _Service) -> ServiceProfile:
     stage = service.segments
     engine = service.engine
     return ServiceProfile(
@@ -194,27 +195,27 @@
         connections=service.max_connections,
         warmup_seconds=max(0.0, service.warmup_s),
         warmup_rate=max(0.0, service.warmup_per_s),
-        stage=None if stage is None else _stage(stage),
+        stage=None if stage is None else _to_stage(stage),
         engine=None if engine is None else EngineCapacity(engine.slots, engine.kv_capacity),
     )
 
 
-def _stage(stage: _Segments) -> StageCapacity:
+def _to_stage(stage: _Segments) -> StageCapacity:
     return StageCapacity(
         slots=max(1, stage.slots),
         queue=max(0, stage.queue),
         batch=max(1, stage.batch),
-        call_seconds=stage.call_ms / MILLISECONDS,
-        piece_seconds=stage.item_ms / MILLISECONDS,
-        room_bytes=stage.headroom_mb * MEGABYTE,
+        call_seconds=stage.call_ms / MILLISECONDS_PER_SECOND,
+        piece_seconds=stage.item_ms / MILLISECONDS_PER_SECOND,
+        room_bytes=stage.headroom_mb * BYTES_PER_MEGABYTE,
         result_seconds=stage.handle_s,
     )
 
 
-def _limits(limits: _Limits) -> RequestLimits:
+def _to_limits(limits: _Limits) -> RequestLimits:
     return RequestLimits(
         header_bytes=limits.max_header_bytes,
         body_bytes=limits.max_body_bytes,
-        header_seconds=limits.header_timeout_ms / MILLISECONDS,
-        idle_seconds=limits.idle_timeout_ms / MILLISECONDS,
+        header_seconds=limits.header_timeout_ms / MILLISECONDS_PER_SECOND,
+        idle_seconds=limits.idle_timeout_ms / MILLISECONDS_PER_SECOND,
     )
--- a/src/corkcrank/platform/names.py
+++ b/src/corkcrank/platform/names.py
@@ -1,4 +1,4 @@
-"""Header, field, table and call names of the platform, each once."""
+"""Names of the platform's headers, paths, tables, rows and worker states."""
 
 ATTEMPT_ID = "X-Corkcrank-Attempt-Id"
 DEADLINE_MS = "X-Corkcrank-Deadline-Ms"
@@ -19,7 +19,7 @@
 SERVER_LIMIT = "Server-Limit"
 PREFIXED_SERVER_LIMIT = "X-Corkcrank-Server-Limit"
 
-# Headers of requests to workers that tell what the gateway decided.
+# Request headers that pass the gateway's decisions to workers.
 EXPECT_VERSION = "X-Corkcrank-Expect-Version"
 REQUEST_PRIORITY = "X-Corkcrank-Request-Priority"
 RESERVATION = "X-Corkcrank-Hold"
@@ -28,7 +28,7 @@
 CACHE_SOURCE = "Kv-From"
 CACHE_FETCH = "Kv-Fetch"
 
-RESERVED = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         TENANT,
@@ -43,13 +43,13 @@
         CACHE_FETCH,
     )
 )
-"""Headers that only the gateway may set; a caller's value of one is dropped."""
+"""Headers that only the gateway may set; values from callers are dropped."""
 
-REPLACED = frozenset(name.lower() for name in (CREDENTIAL, DEADLINE_MS, LAST_EVENT_ID))
-"""Headers of a caller that the gateway reads itself and writes anew, or keeps."""
+CONSUMED_HEADERS = frozenset(name.lower() for name in (CREDENTIAL, DEADLINE_MS, LAST_EVENT_ID))
+"""Caller headers for the gateway itself: it sets them again or does not forward them."""
 
-KEPT = frozenset(name.lower() for name in (ATTEMPT_ID, MODEL, TOKEN_COUNT, PREFIX))
-"""Headers that describe the call itself; no ``Connection`` header takes them away."""
+PROTECTED_HEADERS = frozenset(name.lower() for name in (ATTEMPT_ID, MODEL, TOKEN_COUNT, PREFIX))
+"""Headers that describe the call; they are forwarded even if ``Connection`` lists them."""
 
 READY_PATH = "/readyz"
 STAGE_RUN_PATH = "/stage-run"
--- a/src/corkcrank/platform/ports.py
+++ b/src/corkcrank/platform/ports.py
@@ -1,4 +1,4 @@
-"""Hands the platform's formats and calls to the product."""
+"""Builds the set of platform adapters that the gateway uses."""
 
 import aiohttp
 
@@ -15,7 +15,10 @@
 
 
 def connect(session: aiohttp.ClientSession, address: str, timeout: float) -> PlatformPorts:
-    """Return the platform whose store is at ``address``; ``timeout`` is in seconds."""
+    """Return the adapters for the platform whose store is at ``address``.
+
+    ``timeout`` is that of one store call, in seconds.
+    """
     return PlatformPorts(
         calls=PlatformCallCodec(),
         statements=PlatformStatementCodec(),
--- a/src/corkcrank/platform/stage_calls.py
+++ b/src/corkcrank/platform/stage_calls.py
@@ -1,4 +1,4 @@
-"""Calls to stage workers in the platform's format."""
+"""Encodes calls to stage workers and decodes their answers, in the platform's format."""
 
 from collections.abc import Sequence
 from typing import Annotated
@@ -14,12 +14,12 @@
     Unreadable,
 )
 from corkcrank.platform import names
-from corkcrank.platform.call_headers import MILLISECONDS
-from corkcrank.platform.documents import MEGABYTE
+from corkcrank.platform.call_headers import MILLISECONDS_PER_SECOND
+from corkcrank.platform.documents import BYTES_PER_MEGABYTE
 from corkcrank.platform.strict_json import decode_strictly
 from corkcrank.platform.worker_entries import BornMilliseconds
 
-_REASONS = {
+_OUTCOMES_BY_REASON = {
     "late": PieceOutcome.LATE,
     "gone": PieceOutcome.INPUT_GONE,
     "room": PieceOutcome.NO_ROOM,
@@ -59,7 +59,7 @@
 
 
 class PlatformStageCodec:
-    """Writes and reads the bodies of calls to stage workers."""
+    """Encodes and decodes the bodies of calls to stage workers."""
 
     run_path = names.STAGE_RUN_PATH
     free_path = names.STAGE_FREE_PATH
@@ -70,27 +70,27 @@
         return {"Content-Type": "application/json", names.EXPECT_INSTANCE: worker.name}
 
     def encode_run(self, pieces: Sequence[PieceOrder]) -> bytes:
-        """Return the body that asks for pieces."""
+        """Return the body of a request to run pieces."""
         return msgspec.json.encode(_Run([_encode_piece(piece) for piece in pieces]))
 
     def decode_run(self, body: bytes, count: int) -> list[PieceResult] | None:
-        """Return the results in the order asked, or ``None`` for anything else."""
+        """Return ``count`` results in the order requested, ``None`` for any other body."""
         answer = decode_strictly(body, _RunAnswer)
         if isinstance(answer, Unreadable) or len(answer.items) != count:
             return None
         return [_decode_result(item) for item in answer.items]
 
     def encode_free(self, handles: Sequence[str]) -> bytes:
-        """Return the body that gives results up."""
+        """Return the body of a request to free results."""
         return msgspec.json.encode(_Free(list(handles)))
 
     def decode_report(self, body: bytes) -> StageWorkerReport | Unreadable:
-        """Return what a stage worker reports, or why that cannot be read."""
+        """Return a stage worker's report, or the reason why it is unreadable."""
         report = decode_strictly(body, _Report)
         if isinstance(report, Unreadable):
             return report
         born = None if report.born is msgspec.UNSET else report.born
-        return StageWorkerReport(report.free_mb * MEGABYTE, born)
+        return StageWorkerReport(report.free_mb * BYTES_PER_MEGABYTE, born)
 
 
 def _encode_piece(piece: PieceOrder) -> _Item:
@@ -99,7 +99,9 @@
         id=piece.call_id,
         stage=piece.stage,
         segment=piece.piece,
-        remaining_ms=None if remaining is None else max(1, int(remaining * MILLISECONDS)),
+        remaining_ms=None
+        if remaining is None
+        else max(1, int(remaining * MILLISECONDS_PER_SECOND)),
         key=None if piece.inputs else piece.key,
         inputs=piece.inputs or None,
     )
@@ -108,4 +110,4 @@
 def _decode_result(item: _Result) -> PieceResult:
     if item.handle:
         return PieceResult(PieceOutcome.DONE, item.handle)
-    return PieceResult(_REASONS.get(item.reason, PieceOutcome.FAILED))
+    return PieceResult(_OUTCOMES_BY_REASON.get(item.reason, PieceOutcome.FAILED))
--- a/src/corkcrank/platform/store.py
+++ b/src/corkcrank/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows over HTTP and JSON."""
+"""Client of the platform's store, which serves rows as JSON over HTTP."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,11 +23,11 @@
     ignore_silence,
 )
 from corkcrank.platform import names
-from corkcrank.platform.call_headers import MILLISECONDS
+from corkcrank.platform.call_headers import MILLISECONDS_PER_SECOND
 from corkcrank.platform.strict_json import decode_strictly
 
-PAGE_ROWS = 500
-"""Most rows that one read returns."""
+MAX_PAGE_ROWS = 500
+"""Maximum number of rows that one request reads."""
 
 _TABLES = {
     StoreTable.CONFIGURATION: names.OPERATOR_TABLE,
@@ -44,8 +44,8 @@
     gone: bool = False
 
 
-class _RowName(msgspec.Struct):
-    """What is left of a row that cannot be read whole."""
+class _RowKeyOnly(msgspec.Struct):
+    """The key of a row whose other fields are unreadable."""
 
     key: str
 
@@ -59,13 +59,13 @@
 
 @dataclass(slots=True)
 class _Rows:
-    """The rows of one or more pages; a broken one costs no other."""
+    """The rows of one or more pages; an unreadable row does not affect the others."""
 
     rows: list[StoreRow] = field(default_factory=list)
     nameless: list[Unreadable] = field(default_factory=list)
 
-    def take(self, page: _Page) -> None:
-        """Read the rows of a page."""
+    def add_page(self, page: _Page) -> None:
+        """Decode and add the rows of a page."""
         for raw in page.rows:
             row = _decode_row(raw, page.ver)
             if isinstance(row, StoreRow):
@@ -73,9 +73,9 @@
             else:
                 self.nameless.append(row)
 
-    def as_of(self, revision: int, page: _Page) -> StoreRows:
-        """Return all rows as of a revision, told at the moment of a page."""
-        at = page.now_ms / MILLISECONDS
+    def to_store_rows(self, revision: int, page: _Page) -> StoreRows:
+        """Return all rows as of a revision, with the store time of a page."""
+        at = page.now_ms / MILLISECONDS_PER_SECOND
         return StoreRows(tuple(self.rows), revision, at, tuple(self.nameless))
 
 
@@ -98,15 +98,15 @@
     remove: list[_RowKey]
 
 
-class _Written(msgspec.Struct):
+class _TransactionAnswer(msgspec.Struct):
     ver: int
 
 
 class PlatformStore:
-    """A client of the store; each call answers within its time-out, and is not repeated.
+    """A client of the store; each call returns within its timeout and is not retried.
 
-    After a time-out no idle connection is used again: those that went silent at the same
-    moment would each cost the next call a time-out.
+    After a timeout no idle connection is reused: others that stopped responding at the same
+    time would each delay a later call by a timeout.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str, timeout: float) -> None:
@@ -117,14 +117,14 @@
         self.on_silence: SilenceListener = ignore_silence
 
     async def read(self, table: StoreTable) -> StoreRows | StoreFailure:
-        """Return all rows of a table, page after page.
+        """Return all rows of a table, read page by page.
 
-        Each page is as of a moment of its own. The revision is that of the first one: what
-        changed in it while the others were read comes with the changes since.
+        Pages are read at different revisions. The result has the revision of the first one, so
+        that changes made while the others were read appear among the changes since then.
         """
         found = _Rows()
         revision: int | None = None
-        query = {"table": _TABLES[table], "part": "", "limit": str(PAGE_ROWS)}
+        query = {"table": _TABLES[table], "part": "", "limit": str(MAX_PAGE_ROWS)}
         while True:
             body = await self._call("GET", names.ROWS_GET_PATH, query, None, self._timeout)
             page = _decode_page(body)
@@ -132,24 +132,26 @@
                 return page
             revision = page.ver if revision is None else revision
             known = len(found.rows)
-            found.take(page)
+            found.add_page(page)
             if not page.more:
-                return found.as_of(revision, page)
+                return found.to_store_rows(revision, page)
             if len(found.rows) == known:
-                return StoreFailure(StoreTrouble.BROKEN, "a page without a key to go on from")
+                return StoreFailure(
+                    StoreTrouble.BROKEN, "incomplete page without a readable row to continue from"
+                )
             query["source"] = found.rows[-1].key + "\x00"
 
     async def watch(
         self, table: StoreTable, since: int, wait_seconds: float
     ) -> StoreRows | StoreFailure:
-        """Return what changed after revision ``since``, or nothing after the wait.
+        """Return the rows changed after revision ``since``; none if the wait passes first.
 
-        The deadline is the wait and the time-out of a call that does not wait.
+        The timeout is the wait plus the usual timeout of a call.
         """
         query = {
             "table": _TABLES[table],
             "since_revision": str(since),
-            "wait_ms": str(int(wait_seconds * MILLISECONDS)),
+            "wait_ms": str(int(wait_seconds * MILLISECONDS_PER_SECOND)),
         }
         timeout = wait_seconds + self._timeout
         body = await self._call("GET", names.ROWS_FEED_PATH, query, None, timeout)
@@ -157,15 +159,15 @@
         if isinstance(page, StoreFailure):
             return page
         found = _Rows()
-        found.take(page)
-        return found.as_of(page.ver, page)
+        found.add_page(page)
+        return found.to_store_rows(page.ver, page)
 
     async def put(self, table: StoreTable, key: str, value: bytes) -> int | StoreFailure:
-        """Write one row without condition; return its revision."""
+        """Write one row unconditionally; return its revision."""
         return await self._transact(put=[_Put(_TABLES[table], "", key, value)])
 
     async def remove(self, table: StoreTable, key: str) -> int | StoreFailure:
-        """Remove one row, if it is there; return the revision."""
+        """Remove one row if it exists; return the revision."""
         return await self._transact(remove=[_RowKey(_TABLES[table], "", key)])
 
     async def _transact(
@@ -175,7 +177,7 @@
         body = await self._call("POST", names.ROWS_TX_PATH, None, data, self._timeout)
         if isinstance(body, StoreFailure):
             return body
-        written = decode_strictly(body, _Written)
+        written = decode_strictly(body, _TransactionAnswer)
         if isinstance(written, Unreadable):
             return StoreFailure(StoreTrouble.BROKEN, written.reason)
         return written.ver
@@ -198,25 +200,25 @@
                 timeout=aiohttp.ClientTimeout(total=timeout, connect=self._timeout),
             ) as response:
                 content = await response.read()
-                return _judge(response.status, content)
+                return _check_status(response.status, content)
         except aiohttp.ConnectionTimeoutError:
             return StoreFailure(StoreTrouble.SILENT, "connect time-out")
         except TimeoutError:
-            self._drop(timeout)
+            self._drop_idle(timeout)
             return StoreFailure(StoreTrouble.SILENT)
         except (aiohttp.ClientError, OSError, asyncio.IncompleteReadError) as error:
             return StoreFailure(StoreTrouble.BROKEN, type(error).__name__)
 
     def drop_all_idle(self) -> int:
-        """Use no idle connection again; return how many they were."""
+        """Discard all idle connections; return their number."""
         return drop_all_idle(self._session)
 
-    def _drop(self, waited: float) -> None:
+    def _drop_idle(self, waited: float) -> None:
         idle = drop_idle(self._session, self._address)
         self.on_silence(SilentConnection(ConnectionKind.STORE, self._address, waited, idle))
 
 
-def _judge(status: int, content: bytes) -> bytes | StoreFailure:
+def _check_status(status: int, content: bytes) -> bytes | StoreFailure:
     if status == 200:
         return content
     if status == 410:
@@ -234,14 +236,14 @@
 
 
 def _decode_row(raw: msgspec.Raw, newest: int) -> StoreRow | Unreadable:
-    """Return a row, one that is unreadable but for its key, or what is wrong.
+    """Return a row, a row with a key and an unreadable value, or why even the key is unreadable.
 
-    A row whose revision cannot be read is as of the answer, ``newest``: later changes of it
-    are newer than that.
+    A row with an unreadable revision gets that of the answer, ``newest``: later changes of the
+    row are newer.
     """
     row = decode_strictly(raw, _Row)
     if isinstance(row, Unreadable):
-        named = decode_strictly(raw, _RowName)
+        named = decode_strictly(raw, _RowKeyOnly)
         return named if isinstance(named, Unreadable) else StoreRow(named.key, row, newest)
     if row.gone:
         return StoreRow(row.key, None, row.ver)
--- a/src/corkcrank/platform/strict_json.py
+++ b/src/corkcrank/platform/strict_json.py
@@ -1,4 +1,4 @@
-"""JSON that anybody may have written, read into typed structures."""
+"""Decodes untrusted JSON into typed structures without raising errors."""
 
 from typing import TypeVar
 
@@ -7,7 +7,7 @@
 from corkcrank.links.platform_ports import Unreadable
 
 LONGEST_REASON = 160
-"""Longest reason that is told, in characters: names of fields come from the document."""
+"""Maximum length of a reason in characters; it may quote field names from the document."""
 
 _Document = TypeVar("_Document")
 
@@ -15,7 +15,7 @@
 def decode_strictly(
     data: bytes | msgspec.Raw | Unreadable, kind: type[_Document]
 ) -> _Document | Unreadable:
-    """Return a document, or what is wrong with it; raises nothing, whatever the bytes.
+    """Return a document, or the reason why it is unreadable; never raises an error.
 
     >>> decode_strictly(b"[1]", list[int]), decode_strictly(b"x", int)
     ([1], Unreadable(reason='JSON is malformed: invalid character (byte 0)'))
@@ -25,9 +25,9 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        return unreadable(str(error))
+        return unreadable_because(str(error))
 
 
-def unreadable(reason: str) -> Unreadable:
-    """Return a reason of bounded length."""
+def unreadable_because(reason: str) -> Unreadable:
+    """Return an ``Unreadable`` with its reason truncated."""
     return Unreadable(reason[:LONGEST_REASON])
--- a/src/corkcrank/platform/worker_entries.py
+++ b/src/corkcrank/platform/worker_entries.py
@@ -1,8 +1,8 @@
-"""The workers' entries in the store, of which some may come from another writer.
+"""Decodes and validates workers' entries in the store.
 
-An entry is taken only whole: every field that a worker writes must be there and of its type,
-since one that lacks a field was written by something else, and a request that is sent to its
-address is lost. Numbers must make sense where they are used.
+An entry is accepted only if every field that a worker writes is present and of the right type. An
+entry without one of them was written by something other than a worker, and a request sent to its
+address would be lost. Numbers must be in a plausible range.
 """
 
 import ipaddress
@@ -14,21 +14,21 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.links.platform_ports import StoreRow, Unreadable
 from corkcrank.platform import names
-from corkcrank.platform.call_headers import MILLISECONDS
-from corkcrank.platform.strict_json import decode_strictly, unreadable
+from corkcrank.platform.call_headers import MILLISECONDS_PER_SECOND
+from corkcrank.platform.strict_json import decode_strictly, unreadable_because
 
 BornMilliseconds = Annotated[int, msgspec.Meta(ge=1, lt=1 << 53)]
-"""Unix time of a worker's start in milliseconds; whole numbers of JSON are exact up to here."""
+"""Unix time of a worker's start in milliseconds; JSON integers are exact below this limit."""
 
-MOST_SLOTS = 1_000_000
-"""Most slots of a worker; more than any machine runs, so a number that makes no sense."""
+MAX_SLOTS = 1_000_000
+"""Maximum plausible number of slots of a worker; no machine runs as many."""
 
-LAST_PORT = 65_535
+MAX_PORT = 65_535
 
 MOST_WARMUP_SECONDS = 60.0
-"""Longest warm-up that is believed; a longer one would keep a worker from its share of work."""
+"""Upper limit for a stated warm-up; a longer one would keep a worker from its share of work."""
 
-_Slots = Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+_Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 _Text = Annotated[str, msgspec.Meta(min_length=1)]
 
 
@@ -50,16 +50,16 @@
 
 
 def read_worker(row: StoreRow) -> WorkerRecord | Unreadable | None:
-    """Return the worker of a row, ``None`` where the row is gone, or why it names none."""
+    """Return the worker of a row, ``None`` if the row was removed, or why it is invalid."""
     if row.value is None:
         return None
     entry = decode_strictly(row.value, _Entry)
     if isinstance(entry, Unreadable):
         return entry
-    if not _is_name(row.key):
-        return unreadable("key is no name of a worker")
+    if not _is_worker_name(row.key):
+        return unreadable_because("key is not a valid worker name")
     if not _is_address(entry.address):
-        return unreadable(f"address {entry.address!r} is no ip:port")
+        return unreadable_because(f"address {entry.address!r} is not of the form ip:port")
     return WorkerRecord(
         name=row.key,
         service=entry.service,
@@ -69,25 +69,25 @@
         leaving=entry.state is _State.DRAINING,
         revision=row.revision,
         born=None if entry.born is msgspec.UNSET else entry.born,
-        warmup=min(MOST_WARMUP_SECONDS, max(0.0, entry.warmup_left_ms / MILLISECONDS)),
+        warmup=min(MOST_WARMUP_SECONDS, max(0.0, entry.warmup_left_ms / MILLISECONDS_PER_SECOND)),
     )
 
 
-def _is_name(key: str) -> bool:
-    """Return whether a key can stand in a header: graphic ASCII characters, no space."""
+def _is_worker_name(key: str) -> bool:
+    """Return whether a key is a valid header value: graphic ASCII characters, no spaces."""
     return bool(key) and all("!" <= character <= "~" for character in key)
 
 
 def _is_address(text: str) -> bool:
-    """Return whether a text is an IP address, one of version 6 in brackets, and a port.
+    """Return whether a text is an IP address, in brackets if it is IPv6, with a port.
 
     >>> [_is_address(text) for text in ("10.0.0.1:80", "[::1]:80", "::1:80", "host:80", "")]
     [True, True, False, False, False]
     """
     host, _, port = text.rpartition(":")
-    if not (port.isascii() and port.isdigit() and len(port) <= len(str(LAST_PORT))):
+    if not (port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))):
         return False
-    if not 1 <= int(port) <= LAST_PORT:
+    if not 1 <= int(port) <= MAX_PORT:
         return False
     try:
         if host.startswith("[") and host.endswith("]"):
--- a/src/corkcrank/platform/worker_statements.py
+++ b/src/corkcrank/platform/worker_statements.py
@@ -1,4 +1,4 @@
-"""What workers say of themselves in the heads of their answers, as the platform writes it."""
+"""Reads rate limits and unknown headers from the headers of workers' answers."""
 
 import math
 from collections.abc import Mapping
@@ -6,11 +6,11 @@
 from corkcrank.links.platform_ports import Unreadable, WorkerStatement
 from corkcrank.platform import names
 
-LONGEST_SHOWN = 40
-"""Characters of an unreadable value that are shown in logs."""
+MAX_LOGGED_CHARACTERS = 40
+"""Maximum length of an unreadable value in logs, in characters."""
 
-HIGHEST_RATE = 1e6
-"""Requests a second; a higher limit is as good as this one."""
+MAX_RATE_LIMIT = 1e6
+"""Highest rate limit in requests a second; higher ones are reduced to it."""
 
 KNOWN_HEADERS = frozenset(
     name.lower()
@@ -36,33 +36,33 @@
         "Transfer-Encoding",
     )
 )
-"""Headers of answers that are read, or known not to be needed."""
+"""Headers of answers that are read or known to be irrelevant."""
 
 
 class PlatformStatementCodec:
-    """Reads the heads of answers to calls, to stage calls and to questions alike."""
+    """Reads the headers of answers to calls, to stage calls and to status requests."""
 
     def read_statement(self, headers: Mapping[str, str]) -> WorkerStatement:
-        """Return what the head of an answer of any kind tells of its worker.
+        """Return what the headers of any answer state about its worker.
 
-        Of several limits in one answer the smallest readable one holds.
+        If an answer has several limits, the smallest readable one applies.
         """
         limits: list[str] = []
         unknown: list[str] = []
         for name, value in headers.items():
             lowered = name.lower()
-            if lowered in _LIMIT_NAMES:
+            if lowered in _RATE_LIMIT_HEADERS:
                 limits.extend(value.split(","))
             elif lowered not in KNOWN_HEADERS:
                 unknown.append(lowered)
         return WorkerStatement(_read_limits(limits), tuple(unknown))
 
 
-_LIMIT_NAMES = frozenset((names.SERVER_LIMIT.lower(), names.PREFIXED_SERVER_LIMIT.lower()))
+_RATE_LIMIT_HEADERS = frozenset((names.SERVER_LIMIT.lower(), names.PREFIXED_SERVER_LIMIT.lower()))
 
 
 def _read_limits(texts: list[str]) -> float | Unreadable | None:
-    """Return the smallest limit, in requests a second.
+    """Return the smallest readable limit in requests a second; ``None`` without any.
 
     >>> _read_limits([]), _read_limits(["1.2"]), _read_limits(["4", " 2 ", "none"])
     (None, 1.2, 2.0)
@@ -73,7 +73,7 @@
         return None
     rates = [rate for rate in (_read_rate(text) for text in texts) if rate is not None]
     if not rates:
-        return Unreadable(f"rate limit is {texts[0][:LONGEST_SHOWN]!r}")
+        return Unreadable(f"rate limit is {texts[0][:MAX_LOGGED_CHARACTERS]!r}")
     return min(rates)
 
 
@@ -82,4 +82,4 @@
         rate = float(text)
     except ValueError:
         return None
-    return min(rate, HIGHEST_RATE) if math.isfinite(rate) and rate >= 0 else None
+    return min(rate, MAX_RATE_LIMIT) if math.isfinite(rate) and rate >= 0 else None
--- a/tests/core/test_zone_evacuations.py
+++ b/tests/core/test_zone_evacuations.py
@@ -1,4 +1,7 @@
-"""Evacuated zones as members tell each other: any order, told twice, whole readings between."""
+"""Reports of evacuated zones give the same state in any order, repeated and between full reads.
+
+Guards against a late report that restores an ended evacuation, or a stale read that ends a new one.
+"""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +12,7 @@
 
 
 def history(changes: list[tuple[str, bool]]) -> list[ZoneState]:
-    """Return the operator's changes in the order of the store's revisions."""
+    """Return zone states with ascending store revisions for the operator's changes."""
     return [
         ZoneState(zone, revision, evacuated)
         for revision, (zone, evacuated) in enumerate(changes, start=1)
@@ -25,7 +28,7 @@
 
 
 @given(states=CHANGES, randomness=st.randoms(use_true_random=False))
-def test_the_newest_state_stands_in_whatever_order_they_come(
+def test_the_newest_state_counts_in_any_order_of_arrival(
     states: list[ZoneState], randomness: object
 ) -> None:
     shuffled = states + states
@@ -37,10 +40,10 @@
 
 
 @given(states=CHANGES, read_at=st.integers(0, 12), data=st.data())
-def test_a_whole_reading_and_late_news_end_in_the_same_state(
+def test_a_full_read_and_late_reports_give_the_same_state(
     states: list[ZoneState], read_at: int, data: st.DataObject
 ) -> None:
-    """A node that starts in the middle reads the rows there are, and hears older news later."""
+    """A node that starts later reads the existing rows and then receives older reports."""
     seen = [state for state in states if state.revision <= read_at]
     rows = {state.zone: state for state in seen}
     known = ZoneEvacuations()
@@ -50,7 +53,7 @@
     assert known.evacuated == in_force(states)
 
 
-def test_a_zone_that_a_whole_reading_lacks_is_taken_back() -> None:
+def test_the_evacuation_of_a_zone_missing_from_a_full_read_ends() -> None:
     known = ZoneEvacuations()
     known.take([ZoneState("a", 5, True)])
     assert known.replace_all([], 9) == (ZoneState("a", 9, False),)
@@ -58,14 +61,14 @@
     assert not known.evacuated
 
 
-def test_a_reading_that_is_older_than_an_evacuation_does_not_end_it() -> None:
+def test_a_full_read_older_than_an_evacuation_does_not_end_it() -> None:
     known = ZoneEvacuations()
     known.take([ZoneState("a", 12, True)])
     known.replace_all([], 9)
     assert known.evacuated == {"a"}
 
 
-def test_the_number_of_zones_is_bounded_and_evacuated_ones_are_kept_longest() -> None:
+def test_the_number_of_zones_is_bounded_and_evacuated_ones_are_removed_last() -> None:
     known = ZoneEvacuations()
     known.take([ZoneState("kept", 1, True)])
     known.take([ZoneState(f"z{number}", number + 2, False) for number in range(2 * MOST_ZONES)])
--- a/tests/platform/known_keys.py
+++ b/tests/platform/known_keys.py
@@ -1,7 +1,7 @@
-"""Which keys of the platform's messages are known, and which of some examples are not.
+"""Finds keys and headers in the platform's messages that ``known_keys.toml`` does not list.
 
-``python tests/platform/known_keys.py FILE`` reads the platform's own examples of messages, as text
-with JSON between other lines, and prints the keys and headers that stand in no list.
+``python tests/platform/known_keys.py FILE`` reads examples of the platform's messages, as text
+with JSON between other lines, and prints the unlisted keys and headers.
 """
 
 import json
@@ -20,36 +20,36 @@
     "configuration": {"routes", "tenants"},
     "entry": {"state", "warmup_left_ms"},
 }
-"""Keys by which a document of each kind is told."""
+"""Keys that identify a document of each kind."""
 
 
 def read_keys(kind: str) -> set[str]:
-    """Return the keys of a kind of document that are read."""
+    """Return the keys that are read from a kind of document."""
     return set(LISTS[kind]["read"])
 
 
 def unknown_keys(kind: str, document: dict[str, Any]) -> set[str]:
-    """Return the keys of a document that stand in no list."""
+    """Return the keys of a document that are not listed."""
     found = set(_paths(document, "", set(LISTS[kind]["not_needed"])))
     return found - read_keys(kind)
 
 
-def _paths(value: Any, path: str, passed_over: set[str]) -> Iterator[str]:
-    """Return the paths of all leaves, but for those below a key that is not needed."""
-    if path in passed_over or value in ([], {}):
+def _paths(value: Any, path: str, skipped: set[str]) -> Iterator[str]:
+    """Yield the paths of all leaves, except those below a skipped key."""
+    if path in skipped or value in ([], {}):
         return
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from _paths(item, f"{path}.{key}" if path else key, passed_over)
+            yield from _paths(item, f"{path}.{key}" if path else key, skipped)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         for item in value:
-            yield from _paths(item, path, passed_over)
+            yield from _paths(item, path, skipped)
     else:
         yield path
 
 
 def documents_in(text: str) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Return the documents of known kinds in a text, with their kinds."""
+    """Yield the documents of known kinds in a text, with their kinds."""
     decoder = json.JSONDecoder()
     position = 0
     while (position := text.find("{", position)) >= 0:
@@ -65,7 +65,7 @@
 
 
 def unknown_in(text: str) -> set[str]:
-    """Return what stands in no list, of all documents and headers in a text."""
+    """Return the unlisted keys and headers of all documents and headers in a text."""
     known_headers = read_keys("headers") | set(LISTS["headers"]["not_needed"])
     unknown = set(HEADER.findall(text)) - known_headers
     for kind, document in documents_in(text):
--- a/tests/platform/test_call_heads.py
+++ b/tests/platform/test_call_heads.py
@@ -1,4 +1,7 @@
-"""Heads of requests as anybody may write them: read, or refused with a reason."""
+"""Request headers with arbitrary values are read, or refused with a reason.
+
+Guards against negative, infinite or huge numbers in a caller's headers reaching the scheduler.
+"""
 
 import math
 
@@ -7,7 +10,7 @@
 from hypothesis import strategies as st
 
 from corkcrank.platform import names
-from corkcrank.platform.call_headers import MAXIMUM_PIECES, MAXIMUM_TOKENS, PlatformCallCodec
+from corkcrank.platform.call_headers import MAX_PIECES, MAX_TOKENS, PlatformCallCodec
 
 NUMBERS = st.one_of(
     st.integers(-(10**30), 10**30).map(str),
@@ -20,7 +23,9 @@
 
 
 @given(deadline=NUMBERS, counts=LISTS, tokens=LISTS, parts=PARTS)
-def test_any_head_is_read_or_refused(deadline: str, counts: str, tokens: str, parts: str) -> None:
+def test_any_headers_are_read_or_refused(
+    deadline: str, counts: str, tokens: str, parts: str
+) -> None:
     head = {
         names.DEADLINE_MS: deadline,
         names.SEGMENTS: counts,
@@ -33,10 +38,10 @@
         return
     assert envelope.budget_seconds is None or 0 <= envelope.budget_seconds < math.inf
     assert all(count >= 0 for count in envelope.piece_counts)
-    assert sum(envelope.piece_counts) <= MAXIMUM_PIECES
+    assert sum(envelope.piece_counts) <= MAX_PIECES
     prompt = envelope.prompt
-    told = [prompt.tokens_in, prompt.tokens_out, *(part.tokens for part in prompt.parts)]
-    assert all(0 <= count <= MAXIMUM_TOKENS for count in told)
+    stated = [prompt.tokens_in, prompt.tokens_out, *(part.tokens for part in prompt.parts)]
+    assert all(0 <= count <= MAX_TOKENS for count in stated)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +56,7 @@
         (names.PREFIX, "aa:-5"),
     ],
 )
-def test_a_number_without_sense_is_named(name: str, value: str) -> None:
+def test_the_reason_names_the_header_with_an_invalid_number(name: str, value: str) -> None:
     problem = PlatformCallCodec().read_envelope({name: value})
     assert isinstance(problem, str)
     assert name in problem
--- a/tests/platform/test_known_keys.py
+++ b/tests/platform/test_known_keys.py
@@ -1,7 +1,8 @@
-"""Every key of the platform's settings, documents and headers is read, or not needed for a reason.
+"""Each key of the platform's settings, documents and headers is read or listed as not needed.
 
-Rows of evacuated zones and a worker's warm-up stood in the pages of a deployment for a day on which
-nothing read them, and 9,377 requests reached workers that were to get none.
+Guards against a new key that is ignored unnoticed. The documentation of a deployment described
+rows of evacuated zones and the warm-up of workers for a day while nothing read them, and 9,377
+requests reached workers that were to receive none.
 """
 
 import re
@@ -22,7 +23,7 @@
 
 
 def fields_of(kind: type[msgspec.Struct], path: str = "") -> set[str]:
-    """Return the paths of all fields that a message of this type reads."""
+    """Return the paths of all fields that are decoded from a message of this type."""
     paths = set()
     for item in msgspec.structs.fields(kind):
         inner = [part for part in _types_in(item.type) if isinstance(part, type)]
@@ -37,7 +38,7 @@
     return [annotation, *(part for item in inner for part in _types_in(item))]
 
 
-def test_the_settings_that_the_template_fills_in_are_those_listed() -> None:
+def test_the_settings_filled_in_by_the_template_match_the_list() -> None:
     text = TEMPLATE.read_text(encoding="utf-8")
     filled_in = set(SECTION.findall(text)) | set(GAP.findall(text)) - {"."}
     assert filled_in == read_keys("settings")
@@ -47,13 +48,11 @@
     ("kind", "message"),
     [("configuration", documents._Configuration), ("entry", worker_entries._Entry)],
 )
-def test_the_fields_that_are_decoded_are_those_listed(
-    kind: str, message: type[msgspec.Struct]
-) -> None:
+def test_the_decoded_fields_match_the_list(kind: str, message: type[msgspec.Struct]) -> None:
     assert fields_of(message) == read_keys(kind)
 
 
-def test_the_headers_that_have_a_name_are_those_listed() -> None:
+def test_the_named_headers_match_the_list() -> None:
     named = {
         value
         for value in vars(names).values()
@@ -62,14 +61,14 @@
     assert named == read_keys("headers")
 
 
-def test_stand_ins_tell_nothing_that_is_in_no_list() -> None:
+def test_stand_ins_send_only_listed_keys() -> None:
     document = configuration(1, [route("safe", "safe", "plain")])
     assert unknown_keys("configuration", document) == set()
     for worker in (StandinWorker(), StandinStageWorker()):
         assert unknown_keys("entry", worker.entry("plain")) == set()
 
 
-def test_what_is_not_needed_has_a_reason_and_is_not_read() -> None:
+def test_keys_that_are_not_needed_have_a_reason_and_are_not_read() -> None:
     for kind, lists in LISTS.items():
         assert all(lists["not_needed"].values()), kind
         assert not read_keys(kind) & set(lists["not_needed"])
--- a/tests/platform/test_raw_requests.py
+++ b/tests/platform/test_raw_requests.py
@@ -1,4 +1,7 @@
-"""Damaged requests on raw sockets: whatever comes, the process answers or closes, and goes on."""
+"""Damaged requests on raw sockets: the gateway answers or closes, and keeps serving.
+
+Guards against internal faults caused by malformed bytes in a request's head or body.
+"""
 
 import asyncio
 import random
@@ -34,7 +37,7 @@
 
 
 def damage(data: bytes, source: random.Random) -> bytes:
-    """Change, cut, double or insert some bytes."""
+    """Change, delete, duplicate or insert some bytes."""
     changed = bytearray(data)
     for _ in range(source.randrange(1, 4)):
         at = source.randrange(len(changed))
@@ -53,7 +56,7 @@
 
 
 async def send(running: World, data: bytes) -> None:
-    """Send bytes and wait for an answer to begin; a request that looks unended gets none."""
+    """Send bytes and wait for the answer to begin; an apparently incomplete request gets none."""
     host, port = running.address().rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -66,7 +69,7 @@
         writer.close()
 
 
-async def test_damaged_requests_leave_the_process_sound() -> None:
+async def test_damaged_requests_cause_no_fault() -> None:
     source = random.Random(SEED)
     served = {
         "p": (StandinWorker(), "plain"),
@@ -78,12 +81,12 @@
         faults: list[object] = []
         write = node._log.write
 
-        def note(event: LogEvent, **fields: object) -> None:
+        def record_event(event: LogEvent, **fields: object) -> None:
             if event is LogEvent.INTERNAL_FAULT:
                 faults.append(fields)
             write(event, **fields)
 
-        node._log.write = note  # type: ignore[method-assign]
+        node._log.write = record_event  # type: ignore[method-assign]
         for first in range(0, DAMAGED_REQUESTS, AT_ONCE):
             paths = [("/safe/x", "/staged/x")[number % 2] for number in range(AT_ONCE)]
             damaged = [damage(good_request(path), source) for path in paths]
--- a/tests/platform/test_reserved_headers.py
+++ b/tests/platform/test_reserved_headers.py
@@ -1,4 +1,7 @@
-"""Headers that the system alone sets: a caller's value of them reaches no worker."""
+"""Headers that only the gateway may set: values from callers reach no worker.
+
+A caller that forged one could otherwise act for another tenant or override routing decisions.
+"""
 
 from collections.abc import Iterator
 
@@ -22,7 +25,7 @@
     "Kv-From",
     "Kv-Fetch",
 )
-"""Request headers of the protocol page that tell a worker what the system decided."""
+"""Request headers of the platform's protocol that pass gateway decisions to workers."""
 
 ROUTES = [
     route("safe", "safe", "plain"),
@@ -40,7 +43,7 @@
 
 
 def spellings(name: str) -> Iterator[str]:
-    """Return ways to write a header's name that a lenient worker may take for the same."""
+    """Yield spellings of a header's name that a lenient worker may treat as the same."""
     yield name
     yield name.lower()
     yield name.upper()
@@ -54,7 +57,7 @@
 
 
 @pytest.mark.parametrize("name", RESERVED)
-async def test_a_callers_value_reaches_no_worker(name: str) -> None:
+async def test_a_value_from_a_caller_reaches_no_worker(name: str) -> None:
     plain, model, encode = StandinWorker(), StandinWorker(events=2), StandinStageWorker()
     served = {"p": (plain, "plain"), "m": (model, "model"), "e": (encode, "encode")}
     sent = 0
@@ -71,7 +74,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS_IN)
-async def test_callers_key_stays_with_the_gateway(way: str) -> None:
+async def test_the_callers_key_is_not_forwarded_to_workers(way: str) -> None:
     plain, model, encode = StandinWorker(), StandinWorker(events=2), StandinStageWorker()
     served = {"p": (plain, "plain"), "m": (model, "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -81,7 +84,7 @@
     assert request.headers.getall(names.TENANT) == ["tenant"]
 
 
-async def test_headers_of_the_call_itself_pass_whatever_connection_says() -> None:
+async def test_headers_that_describe_the_call_are_forwarded_even_if_connection_lists_them() -> None:
     model = StandinWorker(events=2)
     own = {names.MODEL: "m", names.TOKEN_COUNT: "7,3", names.PREFIX: "aa:4,bb:3"}
     attempt = call_id()
--- a/tests/test_platform_wall.py
+++ b/tests/test_platform_wall.py
@@ -1,4 +1,7 @@
-"""The platform's names stand only in ``platform/``, and nothing there decides."""
+"""Only ``platform/`` contains the platform's names, and it makes no decisions.
+
+Guards against platform details in the rest of the code, and scheduling logic in the adapter.
+"""
 
 import ast
 import re
@@ -11,7 +14,7 @@
     r"weighted_services|target_latency_ms|route_type|headroom_mb|session_affinity_|"
     r"byte_length|path_prefix\"|max_header_bytes|api_keys|CORKCRANK_BOOT"
 )
-DECIDING = (
+DECISION_MODULES = (
     "corkcrank.scheduling",
     "corkcrank.machines",
     "corkcrank.gateway",
@@ -19,7 +22,7 @@
     "random",
     "time",
 )
-MAXIMUM_LINES = 1_200
+MAX_LINES = 1_200
 
 
 def python_files(folder: Path) -> list[Path]:
@@ -36,7 +39,7 @@
     return names
 
 
-def test_names_of_the_platform_stand_nowhere_else() -> None:
+def test_platform_names_occur_only_in_the_platform_folder() -> None:
     found = [
         f"{path.relative_to(SOURCE)}: {match.group(0)}"
         for path in python_files(SOURCE)
@@ -46,12 +49,12 @@
     assert found == []
 
 
-def test_nothing_in_the_platform_folder_decides() -> None:
+def test_the_platform_folder_imports_no_decision_modules() -> None:
     for path in python_files(PLATFORM):
         wrong = [
             name
             for name in imports_of(path)
-            for part in DECIDING
+            for part in DECISION_MODULES
             if name.split(".")[:2] == part.split(".")[:2]
         ]
         assert wrong == [], f"{path.name} imports {wrong}"
@@ -61,4 +64,4 @@
     lines = sum(
         len(path.read_text(encoding="utf-8").splitlines()) for path in python_files(PLATFORM)
     )
-    assert lines <= MAXIMUM_LINES
+    assert lines <= MAX_LINES
