--- a/src/corkcrank/node/__init__.py
+++ b/src/corkcrank/node/__init__.py
@@ -1,7 +1,7 @@
-"""The node: serves opaque calls on the users' platform, one process a machine.
+"""The node: serves opaque calls on the users' platform, one process per machine.
 
-``program`` starts the process; each other job has a package of its own. Which package may
-import which is listed in ``tests/test_layout.py``. Of the rest only reports import from here,
-for constants. The product's own interface, with pipelines, claims and quotas, is
+``program`` starts the process; each other function has its own package. The permitted imports
+between packages are listed in ``tests/test_layout.py``. Outside the node only reports import
+from here, for constants. The product's own interface, with pipelines, claims and quotas, is
 :mod:`corkcrank.gateway`.
 """
--- a/src/corkcrank/node/callers/__init__.py
+++ b/src/corkcrank/node/callers/__init__.py
@@ -1,5 +1,5 @@
-"""Callers' connections: listening, accepting, idle ones, draining, and answers of our own.
+"""Callers' connections: listening, accepting, idle timeouts, draining, and gateway responses.
 
 State: the open connections, whether the node accepts, the schedule of a planned stop, and
-the calls that have no answer yet. Calls telemetry only; decides nothing about workers.
+the calls without a response so far. Depends on telemetry only; decides nothing about workers.
 """
--- a/src/corkcrank/node/callers/caller_listener.py
+++ b/src/corkcrank/node/callers/caller_listener.py
@@ -1,9 +1,9 @@
-"""Accepts callers' connections within a limit, and closes waiting ones for new ones.
+"""Accepts callers' connections up to a limit, and closes idle ones to admit new ones.
 
-The event loop's own server goes on calling ``accept`` when the process has no descriptor
-left, a thousand times in a turn with a line each, and then pauses for a second. This one
-keeps below the limit by closing connections that nobody needs, so that a descriptor is
-left, and tries again soon where one is lacking all the same.
+When the process has no file descriptor left, the server of asyncio keeps calling ``accept``,
+a thousand times in one loop iteration with a log line each, and then pauses for a second.
+This listener stays below the limit by closing connections without a request in progress, so
+that a descriptor stays free, and retries soon if none is free all the same.
 """
 
 import asyncio
@@ -18,76 +18,80 @@
 from corkcrank.node.callers.listener_state import BlockCause, ListenerState
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections waiting to be accepted."""
 
 RETRY_SECONDS = 0.05
-"""Pause before accepting is tried again."""
+"""Pause before a blocked accept is retried."""
 
 SPARED_SECONDS = 0.1
-"""A connection that has waited for less is not closed: its request may be on its way."""
+"""Minimum age of a wait before a connection may be closed: its request may be in transit."""
 
 CLOSED_SHARE = 1 / 16
-"""Share of the limit that is closed at once, so that looking for them stays cheap."""
+"""Share of the connection limit that is closed in one batch, so that searching for connections
+to close stays cheap."""
 
 
 class ConnectionPhase(IntEnum):
-    """What a connection waits for, in the order in which connections are closed."""
+    """What a connection is waiting for, in the order in which connections are closed."""
 
     RESTING = 0
     HEAD = 1
     BODY = 2
     BUSY = 3
-    """A whole request is in progress; such a connection is never closed for another."""
+    """A complete request is in progress; such a connection is never closed to admit another."""
 
 
 class HeldConnection(asyncio.Protocol):
-    """A connection as the listener sees it."""
+    """The part of a connection's interface that the listener uses."""
 
     @property
     def phase(self) -> ConnectionPhase:
-        """Return what it waits for."""
+        """Return what the connection is waiting for."""
         raise NotImplementedError
 
     @property
     def waits_since(self) -> float:
-        """Return since when, on the clock of :mod:`clock`."""
+        """Return when the current wait began, on the clock of :mod:`clock`."""
         raise NotImplementedError
 
     def force_close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         raise NotImplementedError
 
 
 class ListenerReport(Protocol):
-    """Where the listener tells what it does."""
+    """Receives the events of the listener."""
 
     def closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
-        """Take how many connections were closed for new ones, by phase."""
+        """Record how many connections were closed to admit new ones, by phase."""
 
     def left(self, count: int) -> None:
-        """Take how many callers had left before their connection was accepted."""
+        """Record how many callers had disconnected before their connection was accepted."""
 
     def failing(self, state: ListenerState) -> None:
-        """Take that accepting has been blocked for too long."""
+        """Record that accepting has been blocked for longer than the limit."""
 
     def accepting(self, state: ListenerState) -> None:
-        """Take that accepting works again, before the state forgets since when it did not."""
+        """Record that accepting works again; called while the state still has the block's start."""
 
 
 class CallerListener:
-    """Listens on one address; ``make`` returns the protocol of a new connection."""
+    """Listens on one address; ``make_connection`` returns the protocol of a new connection."""
 
     def __init__(
-        self, make: Callable[[], HeldConnection], state: ListenerState, report: ListenerReport
+        self,
+        make_connection: Callable[[], HeldConnection],
+        state: ListenerState,
+        report: ListenerReport,
     ) -> None:
-        self._make = make
+        self._make_connection = make_connection
         self._state = state
         self._report = report
-        self._open: set[HeldConnection] = set()
-        self._starting: set[asyncio.Task[None]] = set()
+        self._connections: set[HeldConnection] = set()
+        self._connecting_tasks: set[asyncio.Task[None]] = set()
         self._socket: socket.socket | None = None
-        self._retry: asyncio.TimerHandle | None = None
-        self._told_failing = False
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._failure_reported = False
 
     def start(self, address: str) -> None:
         """Listen on ``ip:port``."""
@@ -98,29 +102,29 @@
         self._state.listening = True
 
     def close(self) -> None:
-        """Accept no further connections; open ones stay."""
+        """Stop accepting connections; open ones stay open."""
         if self._socket is None:
             return
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
         self._socket = None
         self._state.listening = False
 
     def lost(self, connection: HeldConnection) -> None:
-        """Forget a connection that has ended."""
-        self._open.discard(connection)
-        self._state.open_connections = len(self._open)
+        """Remove a connection that has been closed."""
+        self._connections.discard(connection)
+        self._state.open_connections = len(self._connections)
 
     def _accept(self) -> None:
-        """Accept what waits, before other work: a full queue drops new connections."""
+        """Accept all waiting connections before other work: a full accept queue drops new ones."""
         assert self._socket is not None
         now = clock.now()
-        left = 0
+        disconnected = 0
         cause: BlockCause | None = None
         for _ in range(BACKLOG):
-            if not self._state.has_place and not self._make_room(now):
+            if not self._state.has_place and not self._close_waiting_connections(now):
                 cause = BlockCause.CONNECTIONS
                 break
             try:
@@ -128,33 +132,33 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 break
             except OSError:
-                self._make_room(now)
+                self._close_waiting_connections(now)
                 cause = BlockCause.DESCRIPTORS
                 break
-            # After a pause of the process the queue is full of callers that have left; to
-            # begin each of their connections costs as much as some requests.
+            # After a pause of the process the accept queue is full of callers that have
+            # disconnected; setting up each connection costs as much as some requests.
             if socket_closed_by_peer(accepted):
                 accepted.close()
-                left += 1
+                disconnected += 1
                 continue
-            self._serve(accepted)
+            self._open_connection(accepted)
             if self._state.blocked_by is BlockCause.CONNECTIONS:
-                self._note_accepting()
-        if left:
-            self._report.left(left)
+                self._record_accepting()
+        if disconnected:
+            self._report.left(disconnected)
         if cause is None:
-            self._note_accepting()
+            self._record_accepting()
         else:
-            self._pause(cause)
+            self._pause_accepting(cause)
 
-    def _serve(self, accepted: socket.socket) -> None:
+    def _open_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        connection = self._make()
-        self._open.add(connection)
-        self._state.open_connections = len(self._open)
+        connection = self._make_connection()
+        self._connections.add(connection)
+        self._state.open_connections = len(self._connections)
         task = asyncio.create_task(self._connect(connection, accepted))
-        self._starting.add(task)
-        task.add_done_callback(self._starting.discard)
+        self._connecting_tasks.add(task)
+        task.add_done_callback(self._connecting_tasks.discard)
 
     async def _connect(self, connection: HeldConnection, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
@@ -163,14 +167,17 @@
         except OSError:
             accepted.close()
             self.lost(connection)
-        if connection not in self._open:
+        if connection not in self._connections:
             connection.force_close()
 
-    def _make_room(self, now: float) -> bool:
-        """Close connections that wait, the longest first; return whether there were any."""
+    def _close_waiting_connections(self, now: float) -> bool:
+        """Close a batch of connections without a complete request; return whether any was closed.
+
+        Connections are closed by phase, and within a phase by age of their wait, oldest first.
+        """
         waiting = [
             (phase, connection.waits_since, connection)
-            for connection in self._open
+            for connection in self._connections
             if (phase := connection.phase) is not ConnectionPhase.BUSY
             and now - connection.waits_since > SPARED_SECONDS
         ]
@@ -182,26 +189,26 @@
             self.lost(connection)
         if closed:
             phases: Counter[ConnectionPhase] = Counter(phase for phase, _, _ in closed)
-            self._report.closed(phases, len(self._open))
+            self._report.closed(phases, len(self._connections))
         return bool(closed)
 
-    def _pause(self, cause: BlockCause) -> None:
+    def _pause_accepting(self, cause: BlockCause) -> None:
         self._state.block(cause)
-        if self._state.failing and not self._told_failing:
-            self._told_failing = True
+        if self._state.failing and not self._failure_reported:
+            self._failure_reported = True
             self._report.failing(self._state)
         assert self._socket is not None
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._socket)
-        self._retry = loop.call_later(RETRY_SECONDS, self._resume)
+        self._retry_timer = loop.call_later(RETRY_SECONDS, self._resume_accepting)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         assert self._socket is not None
         asyncio.get_running_loop().add_reader(self._socket, self._accept)
         self._accept()
 
-    def _note_accepting(self) -> None:
-        if self._told_failing:
-            self._told_failing = False
+    def _record_accepting(self) -> None:
+        if self._failure_reported:
+            self._failure_reported = False
             self._report.accepting(self._state)
         self._state.unblock()
--- a/src/corkcrank/node/callers/caller_server.py
+++ b/src/corkcrank/node/callers/caller_server.py
@@ -1,8 +1,8 @@
-"""The server that callers connect to, with the configuration's limits on connections.
+"""Serves callers' HTTP connections within the limits of the configuration.
 
-The library bounds neither the time a head may take nor, by configuration, the time a
-connection may rest, and it cancels handlers on shutdown. This server adds both limits and
-a stop that first lets connections end.
+aiohttp limits neither the time in which a request head must arrive nor, by configuration, the
+idle time of a connection, and it cancels handlers on shutdown. This server adds both limits
+and a stop that first lets connections end.
 """
 
 import asyncio
@@ -33,36 +33,36 @@
 from corkcrank.node.callers.refusals import Refusal
 
 SWEEP_SECONDS = 0.25
-"""Time between looks at connections that rest, send their head too slowly or were closed."""
+"""Interval of the check for connections that are idle, slow to send a head, or closed."""
 
 MAXIMUM_FIELD_BYTES = 65_536
-"""Bound of the library's parser; the configuration's own limit is lower."""
+"""Limit of aiohttp's parser for one header field; the limit of the configuration is lower."""
 
 HEAD_SLACK_BYTES = 1_024
-"""What a head that has not ended may have beyond the configuration's limit of headers: its
-first line's other words. The library bounds single fields only, and not their sum."""
+"""Size that an incomplete head may have beyond the configured limit of headers, for the request
+line. aiohttp limits single fields only, and not their sum."""
 
 NEVER_SECONDS = 86_400.0
-"""Keep-alive of the library, which the sweep replaces."""
+"""Keep-alive timeout of aiohttp, in effect off: the periodic sweep closes idle connections."""
 
 LINGER_SECONDS = 0.5
-"""Time for which the rest of a body is read and dropped once its request was answered."""
+"""Time for which the rest of a request body is read and discarded after the response."""
 
 SHUTDOWN_SECONDS = 0.1
-"""Time that the library gives handlers at a stop; the drain has answered their calls before."""
+"""Time that aiohttp gives handlers at a stop; the drain has answered their calls by then."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class CallerConnection(RequestHandler, HeldConnection):
-    """One connection, with the times that the sweep and the listener need."""
+    """One caller's connection, with the timestamps that the sweep and the listener use."""
 
     def __init__(
         self,
         manager: web.Server,
         loop: asyncio.AbstractEventLoop,
         limits: Callable[[], RequestLimits],
-        lost: Callable[[HeldConnection], None],
+        on_lost: Callable[[HeldConnection], None],
     ) -> None:
         super().__init__(
             manager,
@@ -77,47 +77,47 @@
         self.head_since: float | None = None
         self.lost_at: float | None = None
         self._limits = limits
-        self._lost = lost
+        self._on_lost = on_lost
         self._head_bytes = 0
-        self._begun = 0
-        self._unsent_before = 0
-        self._busy = False
-        self._begun_at = 0.0
+        self._handlers_started = 0
+        self._previous_unsent_bytes = 0
+        self._handling = False
+        self._handler_started_at = 0.0
         self._content: StreamReader | None = None
 
     @property
     def caller(self) -> str:
-        """Return the caller's ``ip:port``, empty once the connection is closed."""
+        """Return the caller's ``ip:port``, or an empty string once the connection is closed."""
         name = self.peername
         return f"{name[0]}:{name[1]}" if isinstance(name, tuple) else ""
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being handled, or was read and will be next.
+        """Return whether a request is being handled, or was read and waits for its handler.
 
-        The library hands a request to its handler some loop turns after it was read.
+        aiohttp passes a request to its handler some loop iterations after it was read.
         """
-        return self._busy or self.unbegun
+        return self._handling or self.unbegun
 
     @property
     def unbegun(self) -> bool:
-        """Return whether a request was read that its handler has not begun."""
-        return self._request_count > self._begun
+        """Return whether a request was read whose handler has not started."""
+        return self._request_count > self._handlers_started
 
     @property
     def unsent_bytes(self) -> int:
-        """Return the bytes of an answer that wait for the caller to read on."""
+        """Return how many bytes of a response are buffered until the caller reads more."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def note_reading(self, now: float) -> None:
-        """Count a caller that reads an answer slowly as resting only since it last read."""
-        if self.unsent_bytes != self._unsent_before:
+        """Restart the idle time if the caller has read buffered bytes since the last check."""
+        if self.unsent_bytes != self._previous_unsent_bytes:
             self.resting_since = now
-        self._unsent_before = self.unsent_bytes
+        self._previous_unsent_bytes = self.unsent_bytes
 
     @property
     def phase(self) -> ConnectionPhase:
-        """Return what it waits for."""
+        """Return what the connection is waiting for."""
         if self.busy or self._current_request is not None or self.unsent_bytes > 0:
             content = self._content
             unfinished = content is not None and not content.is_eof()
@@ -126,33 +126,33 @@
 
     @property
     def waits_since(self) -> float:
-        """Return since when it has been in its phase, on the clock of :mod:`clock`."""
+        """Return when the current phase began, on the clock of :mod:`clock`."""
         if self.busy:
-            return self._begun_at
+            return self._handler_started_at
         return self.resting_since if self.head_since is None else self.head_since
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Note when the connection ended, tell the listener, and end the handler."""
+        """Record when the connection was closed, inform the listener, and end the handler."""
         self.lost_at = clock.now()
-        self._lost(self)
+        self._on_lost(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Note when a head begins; a parsed head ends it."""
+        """Record when a request head begins to arrive; clear it once the head was parsed."""
         before = self._request_count
         super().data_received(data)
         if self._request_count != before:
             self.head_since = None
             self._head_bytes = 0
         elif not self.busy and data:
-            self._await_head(len(data))
+            self._record_partial_head(len(data))
 
-    def _await_head(self, size: int) -> None:
+    def _record_partial_head(self, size: int) -> None:
         if self.head_since is None:
             self.head_since = clock.now()
         self._head_bytes += size
-        longest = self._limits().header_bytes + HEAD_SLACK_BYTES
-        if self._head_bytes > longest and self.transport is not None:
+        max_bytes = self._limits().header_bytes + HEAD_SLACK_BYTES
+        if self._head_bytes > max_bytes and self.transport is not None:
             self.transport.write(Refusal(ResultCode.HEADERS_TOO_LARGE).closing_bytes())
             self.force_close()
 
@@ -163,9 +163,11 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what the parser rejects with a numbered code, and close."""
+        """Answer a request that the parser rejects with a numbered code, then close."""
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer has begun; it can only be broken off")
+            raise ConnectionError(
+                "the response has already started; closing the connection without completing it"
+            )
         code = (
             ResultCode.MALFORMED_REQUEST
             if status < HTTPStatus.INTERNAL_SERVER_ERROR
@@ -174,43 +176,44 @@
         return Refusal(code, message or "", close=True).response()
 
     def end_if_left(self) -> None:
-        """End the request being handled if its caller has closed the connection.
+        """Abort the request being handled if its caller has closed the connection.
 
-        The library sees a close only by reading. Reading is paused while further requests
-        wait, and after the caller's end the connection stays until all was written.
+        aiohttp detects a close only by reading. Reading is paused while pipelined requests
+        wait, and after the caller has closed its end the connection stays open until all
+        data was written.
         """
-        if self._busy and self.transport is not None and closed_by_peer(self.transport):
+        if self._handling and self.transport is not None and closed_by_peer(self.transport):
             self.transport.abort()
 
     def begin(self, content: StreamReader) -> None:
-        """Note that a request is being handled; its body may still come."""
-        self._busy = True
-        self._begun_at = clock.now()
+        """Record that a handler has started; the request body may still be arriving."""
+        self._handling = True
+        self._handler_started_at = clock.now()
         self._content = content
         self.head_since = None
-        self._begun += 1
+        self._handlers_started += 1
 
     def rest(self) -> None:
-        """Note that no request is being handled."""
-        self._busy = False
+        """Record that the handler has ended and the connection is idle."""
+        self._handling = False
         self._content = None
         self.resting_since = clock.now()
 
     def drop_unsent(self) -> None:
-        """Close without sending what the caller does not accept; closing would wait for it."""
+        """Close without sending buffered bytes; a regular close would wait until they are read."""
         if self.transport is not None:
             self.transport.abort()
         self.force_close()
 
 
 def seconds_since_close(request: web.BaseRequest) -> float:
-    """Return how long ago the connection of a request was seen to end."""
+    """Return the seconds since a request's connection was found closed, 0 while it is open."""
     lost_at = getattr(request.protocol, "lost_at", None)
     return clock.now() - lost_at if lost_at is not None else 0.0
 
 
 class CallerServer:
-    """Serves one handler on one address, within limits that may change at any time."""
+    """Serves one request handler on one address, within limits that may change at any time."""
 
     def __init__(
         self,
@@ -221,19 +224,19 @@
     ) -> None:
         self._handler = handler
         self._limits = limits
-        self._server = web.Server(self._handle, handler_cancellation=True)
-        self._listener = CallerListener(self._connection, state, report)
+        self._server = web.Server(self._handle_request, handler_cancellation=True)
+        self._listener = CallerListener(self._make_connection, state, report)
         self._sweeper: asyncio.Task[None] | None = None
         self.on_silence: SilenceListener = ignore_silence
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests being handled or whose answers are being written."""
+        """Return the number of connections with a request or a response in progress."""
         return sum(item.busy or item.unsent_bytes > 0 for item in self.connections())
 
     @property
     def unbegun(self) -> int:
-        """Return the number of requests read that their handlers have not begun."""
+        """Return the number of connections with a request whose handler has not started."""
         return sum(item.unbegun for item in self.connections())
 
     def connections(self) -> list[CallerConnection]:
@@ -243,23 +246,26 @@
     async def start(self, address: str) -> None:
         """Listen on ``ip:port``."""
         self._listener.start(address)
-        self._sweeper = asyncio.create_task(self._sweep())
+        self._sweeper = asyncio.create_task(self._sweep_connections())
 
     def stop_listening(self) -> None:
-        """Accept no further connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     def close_resting(self, longer_than: float) -> None:
-        """Close connections that have rested for some seconds and have sent nothing new."""
+        """Close connections that have been idle for ``longer_than`` seconds.
+
+        Connections that have sent part of a head, or have unread response bytes, stay open.
+        """
         now = clock.now()
         for connection in self.connections():
-            rested = now - connection.resting_since
-            begun = connection.head_since is not None or connection.unsent_bytes > 0
-            if not connection.busy and not begun and rested > longer_than:
+            idle_seconds = now - connection.resting_since
+            receiving_or_sending = connection.head_since is not None or connection.unsent_bytes > 0
+            if not connection.busy and not receiving_or_sending and idle_seconds > longer_than:
                 connection.force_close()
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Close the listener and all connections at once."""
         if self._sweeper is not None:
             self._sweeper.cancel()
         self.stop_listening()
@@ -267,12 +273,12 @@
             connection.force_close()
         await self._server.shutdown(SHUTDOWN_SECONDS)
 
-    def _connection(self) -> CallerConnection:
+    def _make_connection(self) -> CallerConnection:
         return CallerConnection(
             self._server, asyncio.get_running_loop(), self._limits, self._listener.lost
         )
 
-    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = cast(CallerConnection, request.protocol)
         connection.begin(request.content)
         try:
@@ -280,7 +286,7 @@
         finally:
             connection.rest()
 
-    async def _sweep(self) -> None:
+    async def _sweep_connections(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             limits = self._limits()
@@ -297,7 +303,7 @@
                     self._close_idle(connection, now)
 
     def _close_idle(self, connection: CallerConnection, now: float) -> None:
-        """Close a connection that has rested, or accepted no bytes, for the longest time."""
+        """Close a connection that has been idle, or has read no response bytes, for the limit."""
         if not connection.unsent_bytes:
             connection.force_close()
             return
--- a/src/corkcrank/node/callers/drain.py
+++ b/src/corkcrank/node/callers/drain.py
@@ -1,9 +1,10 @@
-"""A planned stop: until when calls are taken, answered and streamed.
+"""Drains a gateway at a planned stop: sets until when calls are admitted, answered and streamed.
 
-No forecast of how long a call takes holds while the rest of the fleet is being restarted too.
-So whether a call is cut must not depend on one: streams are begun only while the balancer may
-not have noticed the stop, when most of the grace is left, and a call without an answer gets
-one before the end, which says that it has not run unless a worker may have it.
+Forecasts of call durations are wrong while the rest of the fleet is being restarted too, so
+whether a call is cut must not depend on one. New streams start only while the load balancer
+may not have noticed the stop, when most of the grace period is left. Each call without a
+response gets one before the end; it states that the call was not run, unless a worker may have
+run it.
 """
 
 import asyncio
@@ -20,30 +21,30 @@
 from corkcrank.node.callers.refusals import Refusal
 
 BALANCER_LAG_SECONDS = 2.5
-"""Time for which the balancer may still send connections after it was told not to.
+"""Time for which the load balancer may still send connections to a gateway that is not ready.
 
-It asks for readiness once a second and needs two misses. The listener stays open to the end:
-where no other machine of a zone is ready, the balancer goes on sending callers here, and a
-refused connection serves them worse than an answer."""
+It checks readiness once a second and needs two failed checks. The listener stays open to the
+end: if no other machine of a zone is ready, the balancer keeps sending callers here, and an
+error response is more useful to them than a refused connection."""
 
 LARGEST_LAG_SHARE = 0.5
-"""Part of the grace that the balancer's lag may take, where the grace is short."""
+"""Maximum share of the grace period for the balancer's lag; applies if the period is short."""
 
 RESTING_CLOSE_SECONDS = 0.3
-"""While draining, connections that have rested for this long are closed."""
+"""Idle time after which connections are closed while draining."""
 
 DRAIN_RESERVE_SECONDS = 0.4
-"""Time kept back from the grace for closing down."""
+"""Part of the grace period that is reserved for closing down."""
 
 ANSWER_RESERVE_SECONDS = 0.2
-"""Time kept back from the drain to write out the answers of calls that had none: four looks."""
+"""Part of the drain that is reserved for writing responses to unanswered calls: 4 checks."""
 
 PIECES_RESERVE_SECONDS = 0.8
-"""Time before the end of the drain from which other gateways' pieces are not queued here any
-more, so that calls at work can end: about two of them."""
+"""Time before the end of the drain after which other gateways' pieces are no longer queued
+here, so that calls in progress can end: about the duration of two calls."""
 
 CHECK_SECONDS = 0.05
-"""Time between looks at whether a start or a drain is complete."""
+"""Interval of the check whether a start or a drain is complete."""
 
 NEVER = float("inf")
 
@@ -54,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainSchedule:
-    """Moments of a planned stop on the clock of :mod:`clock`, in seconds; never without a signal.
+    """Times of a planned stop on the clock of :mod:`clock`, in seconds; infinite before a signal.
 
-    After ``streams_until`` no stream is begun. At ``answer_by`` every call without an answer
-    gets one. At ``stop_at`` streams that still run are cut.
+    After ``streams_until`` no stream is started. At ``answer_by`` every call without a response
+    gets one. At ``stop_at`` streams that are still running are cut.
     """
 
     signalled_at: float = NEVER
@@ -80,44 +81,44 @@
 
     @property
     def pieces_until(self) -> float:
-        """Return until when other gateways' pieces are queued here."""
+        """Return the time until which other gateways' pieces are queued here."""
         return self.stop_at - PIECES_RESERVE_SECONDS
 
     @property
     def begun(self) -> bool:
-        """Return whether the signal has come."""
+        """Return whether the signal to stop was received."""
         return self.signalled_at < NEVER
 
 
 class PeerWork(Protocol):
-    """What a gateway does for others, as far as its stop must know."""
+    """The work that a gateway does for other gateways, as its drain uses it."""
 
     @property
     def busy(self) -> bool:
-        """Return whether anything of theirs waits or is at work."""
+        """Return whether any of their pieces is waiting or running."""
 
     def refuse_pieces(self) -> None:
-        """Give back what waits, and take nothing new."""
+        """Return the waiting pieces to their gateways, and refuse new ones."""
 
 
 class CallRun(Protocol[Result]):
-    """Something that is done for a caller, and that a stop may have to give up.
+    """The processing of one call, which a stop may have to abandon.
 
-    ``answer_begun`` must be true before the first byte of the answer goes out.
+    ``answer_begun`` must be true before the first byte of the response is sent.
     """
 
     @property
     def answer_begun(self) -> bool:
-        """Return whether any part of the answer has gone out."""
+        """Return whether any part of the response was sent."""
 
     async def run(self) -> Result:
-        """Return the result, usually the answer."""
+        """Process the call and return the result, usually the response."""
 
     def fits_before_stop(self) -> bool:
-        """Return whether it may still end before a stop that has begun does."""
+        """Return whether the call may still end before the end of a stop in progress."""
 
     def give_up(self) -> CallAnswer:
-        """Return the answer of a stop that does not wait for :meth:`run`."""
+        """Return the response that is sent if a stop abandons :meth:`run`."""
 
 
 @dataclass(eq=False, slots=True)
@@ -127,18 +128,18 @@
 
 
 class OpenCalls:
-    """The calls being served, so that a stop can answer those that have no answer yet."""
+    """The calls in progress, so that a stop can respond to those without a response."""
 
     def __init__(self) -> None:
         self._open: set[_OpenCall] = set()
 
     @property
     def unanswered(self) -> int:
-        """Return how many calls have no part of an answer yet."""
+        """Return how many calls have not started a response."""
         return sum(not item.run.answer_begun for item in self._open)
 
     async def serve(self, run: CallRun[Result]) -> Result | CallAnswer:
-        """Return what a run returns, or the answer of a stop that gave it up."""
+        """Return the result of a run, or its stop response if a stop abandoned it."""
         scope = asyncio.timeout(None)
         item = _OpenCall(run, scope)
         self._open.add(item)
@@ -153,18 +154,18 @@
             self._open.discard(item)
 
     def end_unanswered(self) -> None:
-        """Give up every call that has no part of an answer; its caller is answered now."""
-        self._give_up(item for item in self._open if not item.run.answer_begun)
+        """Abandon every call that has not started a response; its caller is answered now."""
+        self._abandon(item for item in self._open if not item.run.answer_begun)
 
     def end_hopeless(self) -> None:
-        """Give up the calls without an answer that would not end before the stop."""
-        self._give_up(
+        """Abandon the calls without a response that would not end before the stop."""
+        self._abandon(
             item
             for item in self._open
             if not item.run.answer_begun and not item.run.fits_before_stop()
         )
 
-    def _give_up(self, items: Iterable[_OpenCall]) -> None:
+    def _abandon(self, items: Iterable[_OpenCall]) -> None:
         now = asyncio.get_running_loop().time()
         for item in list(items):
             if item.scope.when() is None:
@@ -172,16 +173,16 @@
 
 
 def stopped_answer(call: OpaqueCall) -> Refusal:
-    """Return the answer to a call given up: a worker that may have it may have run it."""
+    """Return the response to an abandoned call: unknown outcome if a worker may have run it."""
     if call.may_have_run:
         return Refusal(ResultCode.OUTCOME_UNKNOWN, "this gateway is stopping", close=True)
     return Refusal.draining("given up at the end of the drain")
 
 
 class CallerDrain:
-    """Carries a schedule out: lets calls end, then answers those that have not ended.
+    """Applies a drain schedule: lets calls end, then responds to those that have not ended.
 
-    ``peers`` is what this gateway does for others.
+    ``peers`` is the work that this gateway does for other gateways.
     """
 
     def __init__(self, callers: CallerServer, open_calls: OpenCalls, peers: PeerWork) -> None:
@@ -190,20 +191,20 @@
         self._peers = peers
 
     async def run(self, schedule: DrainSchedule) -> None:
-        """Return when nothing is in flight, or when streams are to be cut."""
-        while not self._over(schedule):
-            self._look(schedule, clock.now())
+        """Drain until nothing is in flight, or until the time at which streams are cut."""
+        while not self._drained(schedule):
+            self._apply_schedule(schedule, clock.now())
             await asyncio.sleep(CHECK_SECONDS)
         self._callers.stop_listening()
         answers_until = max(schedule.stop_at, clock.now()) + ANSWER_RESERVE_SECONDS
-        # Requests that came meanwhile are read now, and served like those before them.
+        # Requests that arrived in the meantime are read now, and served as usual.
         await asyncio.sleep(CHECK_SECONDS)
-        while self._pending(schedule, clock.now(), answers_until):
+        while self._callers_wait(schedule, clock.now(), answers_until):
             self._callers.close_resting(0.0)
-            self._look(schedule, clock.now())
+            self._apply_schedule(schedule, clock.now())
             await asyncio.sleep(CHECK_SECONDS)
 
-    def _look(self, schedule: DrainSchedule, now: float) -> None:
+    def _apply_schedule(self, schedule: DrainSchedule, now: float) -> None:
         self._callers.close_resting(RESTING_CLOSE_SECONDS)
         if now >= schedule.answer_by:
             self._open_calls.end_unanswered()
@@ -212,13 +213,13 @@
         if now >= schedule.pieces_until:
             self._peers.refuse_pieces()
 
-    def _over(self, schedule: DrainSchedule) -> bool:
+    def _drained(self, schedule: DrainSchedule) -> bool:
         now = clock.now()
         busy = self._callers.in_flight or self._peers.busy
         return now >= schedule.stop_at or (now >= schedule.streams_until and not busy)
 
-    def _pending(self, schedule: DrainSchedule, now: float, answers_until: float) -> bool:
-        """Return whether callers still wait; after the drain's end only for an answer at all."""
+    def _callers_wait(self, schedule: DrainSchedule, now: float, answers_until: float) -> bool:
+        """Return whether callers still wait; after ``stop_at`` only those without a response."""
         if now < schedule.stop_at:
             return self._callers.in_flight > 0
         unanswered = self._open_calls.unanswered or self._callers.unbegun
--- a/src/corkcrank/node/callers/listener_report.py
+++ b/src/corkcrank/node/callers/listener_report.py
@@ -1,4 +1,4 @@
-"""Writes what the callers' listener does to the log and the metrics."""
+"""Logs and counts events of the listener for callers' connections."""
 
 from collections import Counter
 
@@ -9,26 +9,26 @@
 
 
 class NodeListenerReport:
-    """One line for each group of connections closed, and for each change of readiness."""
+    """Writes one log line for each group of closed connections and each change of readiness."""
 
     def __init__(self, log: DecisionLog, metrics: NodeMetrics) -> None:
         self._log = log
         self._metrics = metrics
 
     def closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
-        """Take how many connections were closed for new ones, by phase."""
+        """Record how many connections were closed to admit new ones, by phase."""
         by_name = {phase.name.lower(): count for phase, count in counts.items()}
         for name, count in by_name.items():
             self._metrics.connections_closed.labels(name).inc(count)
         self._log.write(LogEvent.CONNECTIONS_CLOSED, **by_name, open=open_connections)
 
     def left(self, count: int) -> None:
-        """Take how many callers had left before their connection was accepted."""
+        """Record how many callers had disconnected before their connection was accepted."""
         self._metrics.callers_left.inc(count)
         self._log.write(LogEvent.CALLERS_LEFT, count=count)
 
     def failing(self, state: ListenerState) -> None:
-        """Take that accepting has been blocked for too long."""
+        """Record that accepting has been blocked for longer than the limit."""
         self._log.write(
             LogEvent.NOT_READY,
             cause=state.blocked_by,
@@ -37,7 +37,7 @@
         )
 
     def accepting(self, state: ListenerState) -> None:
-        """Take that accepting works again, before the state forgets since when it did not."""
+        """Record that accepting works again; called while the state still has the block's start."""
         self._log.write(
             LogEvent.READY,
             cause=state.blocked_by,
--- a/src/corkcrank/node/callers/listener_state.py
+++ b/src/corkcrank/node/callers/listener_state.py
@@ -1,8 +1,8 @@
-"""Whether this gateway takes callers' connections: what readiness and accepting derive from.
+"""Holds whether a gateway accepts callers' connections, for its readiness and its listener.
 
-A gateway is ready while it serves, listens and accepts. Being busy does not make it unready:
-only accepting that has failed, or has found no place for a connection, for
-``PATIENCE_SECONDS`` does, until a connection is accepted again or nobody waits.
+A gateway is ready while it serves, listens and accepts. High load does not make it unready. It
+is unready if accepting has failed, or was blocked by the connection limit, for
+``PATIENCE_SECONDS``, until a connection is accepted again or none is waiting.
 """
 
 import resource
@@ -13,48 +13,48 @@
 from corkcrank.contracts.node_settings import NodeLimitSettings
 
 FILE_DESCRIPTORS = 200
-"""Descriptors kept for files, which sockets never get; half of all where there are few."""
+"""Descriptors reserved for files, never used for sockets; half of all if there are few."""
 
 CALLERS_SHARE = 0.5
-"""Share of the descriptors for sockets that callers' connections may take.
+"""Maximum share of the socket descriptors for callers' connections.
 
-A request in progress needs a connection to a worker for each of a caller's. The other half
-serves workers, the store, peers, readiness and metrics."""
+A request in progress uses one connection to a worker for each caller's connection. The other
+half is for workers, the store, peers, readiness and metrics."""
 
 CALLERS_MEMORY_SHARE = 0.5
-"""Share of the memory that connections which wait for a request may take."""
+"""Maximum share of the memory for connections that wait for a request."""
 
 CONNECTION_BYTES = 24_000
-"""Most that a connection takes while no request is in progress: it has served one and rests, or
-its head has not ended. One that never sent a byte takes a quarter of it."""
+"""Maximum memory of a connection without a request in progress: it is idle after a request, or
+its head is incomplete. A connection that never sent a byte uses a quarter of it."""
 
 BYTES_OF_MB = 2**20
 
 UNLIMITED_DESCRIPTORS = 2**20
-"""Descriptors assumed where neither the operating system nor the settings bound them."""
+"""Number of descriptors if neither the operating system nor the settings limit them."""
 
 FEWEST_CONNECTIONS = 8
-"""Connections that are allowed whatever the limits say."""
+"""Minimum connection limit, also if descriptors or memory allow fewer."""
 
 RESUME_SHARE = 15 / 16
-"""Share of the connection limit below which a full gateway accepts again."""
+"""Share of the connection limit below which a gateway that reached it accepts again."""
 
 PATIENCE_SECONDS = 0.5
-"""Time without accepting after which a gateway says that it is not ready."""
+"""Time for which accepting may be blocked before the gateway reports that it is not ready."""
 
 
 class BlockCause(StrEnum):
     """Why no connection is accepted."""
 
     CONNECTIONS = "connections"
-    """The limit is reached, and every connection has a request in progress."""
+    """The connection limit is reached, and every connection has a request in progress."""
 
     DESCRIPTORS = "descriptors"
-    """The operating system gave no descriptor or no memory for the connection."""
+    """The operating system has no descriptor or no memory for the connection."""
 
 
 class ListenerState:
-    """One gateway's state of accepting; times are of :mod:`clock`, in seconds."""
+    """State of accepting connections at one gateway; times are of :mod:`clock`, in seconds."""
 
     def __init__(self, connection_limit: int, serving: Callable[[], bool]) -> None:
         self.connection_limit = connection_limit
@@ -66,25 +66,25 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers to this gateway."""
         return self._serving() and self.listening and not self.failing
 
     @property
     def failing(self) -> bool:
-        """Return whether accepting has been blocked for too long."""
+        """Return whether accepting has been blocked for more than ``PATIENCE_SECONDS``."""
         return self.blocked_by is not None and self.blocked_seconds > PATIENCE_SECONDS
 
     @property
     def blocked_seconds(self) -> float:
-        """Return for how long accepting has been blocked."""
+        """Return for how many seconds accepting has been blocked, 0 if it is not."""
         return clock.now() - self._blocked_since if self.blocked_by is not None else 0.0
 
     @property
     def has_place(self) -> bool:
-        """Return whether a further connection is within the limit.
+        """Return whether the limit permits one more connection.
 
-        Once the limit has blocked, some places must be free, so that readiness does not
-        change with each connection.
+        After the limit has blocked accepting, the number of connections must first fall below
+        ``RESUME_SHARE`` of it, so that readiness does not change with each connection.
         """
         limit = self.connection_limit
         if self.blocked_by is BlockCause.CONNECTIONS:
@@ -92,25 +92,25 @@
         return self.open_connections < limit
 
     def block(self, cause: BlockCause) -> None:
-        """Note that a connection could not be accepted."""
+        """Record that a connection could not be accepted."""
         if self.blocked_by is None:
             self._blocked_since = clock.now()
         self.blocked_by = cause
 
     def unblock(self) -> None:
-        """Note that accepting works."""
+        """Record that accepting works."""
         self.blocked_by = None
 
 
 def connection_limit(limits: NodeLimitSettings) -> int:
-    """Return how many connections callers may hold, from descriptors and memory.
+    """Return the maximum number of callers' connections, from descriptors and memory.
 
     >>> connection_limit(NodeLimitSettings(file_descriptors=900, memory_mb=300))
     350
     >>> connection_limit(NodeLimitSettings(file_descriptors=900, memory_mb=10))
     218
     """
-    descriptors = _descriptors(limits)
+    descriptors = _descriptor_limit(limits)
     sockets = max(descriptors - FILE_DESCRIPTORS, descriptors // 2)
     allowed = int(sockets * CALLERS_SHARE)
     if limits.memory_mb:
@@ -119,10 +119,10 @@
     return max(FEWEST_CONNECTIONS, allowed)
 
 
-def _descriptors(limits: NodeLimitSettings) -> int:
-    """Return the descriptors of this process: the operating system's limit or a lower one."""
+def _descriptor_limit(limits: NodeLimitSettings) -> int:
+    """Return the descriptor limit of this process, of the operating system or a lower setting."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    told = limits.file_descriptors
+    configured = limits.file_descriptors
     if allowed == resource.RLIM_INFINITY:
-        allowed = told or UNLIMITED_DESCRIPTORS
-    return min(allowed, told) if told else allowed
+        allowed = configured or UNLIMITED_DESCRIPTORS
+    return min(allowed, configured) if configured else allowed
--- a/src/corkcrank/node/callers/refusals.py
+++ b/src/corkcrank/node/callers/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of corkcrank's own to opaque calls: numbered codes, and when to come back."""
+"""Responses to opaque calls that the gateway generates itself: numbered codes, retry times."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -11,18 +11,18 @@
 RETRY_AFTER = "Retry-After"
 
 DRAINING_RETRY_SECONDS = 0.1
-"""When to come back to another gateway than one that is stopping: a few round trips."""
+"""Time after which a caller may retry at a gateway that is not stopping: a few round trips."""
 
 
 class CallerLeftError(ConnectionResetError):
-    """A call's caller has closed its connection: nobody would read an answer."""
+    """The caller has closed its connection and cannot receive a response."""
 
     def __init__(self) -> None:
-        super().__init__("the caller has left")
+        super().__init__("the caller has closed the connection")
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """Body of an answer of corkcrank's own."""
+    """Body of a response that the gateway generates itself."""
 
     code: int
     name: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer without a worker's; ``retry_after`` is in seconds."""
+    """A final response that no worker generated; ``retry_after`` is in seconds."""
 
     code: ResultCode
     detail: str = ""
@@ -41,17 +41,17 @@
 
     @classmethod
     def draining(cls, detail: str) -> "Refusal":
-        """Return the answer to a call that has not run and would not end before the stop."""
+        """Return the response to a call that has not run and would not end before the stop."""
         return cls(ResultCode.DRAINING, detail, retry_after=DRAINING_RETRY_SECONDS, close=True)
 
     @classmethod
     def quarantined(cls, seconds: float) -> "Refusal":
-        """Return the answer to a call whose request is kept from workers for so long."""
+        """Return the response to a call whose request is quarantined for ``seconds`` more."""
         return cls(ResultCode.REQUEST_QUARANTINED, retry_after=seconds)
 
     def closing_bytes(self) -> bytes:
-        """Return the whole answer where no request was read; the connection ends with it."""
-        status, body = self.code.http_status, self._body()
+        """Return the encoded HTTP response if no request was read; it ends the connection."""
+        status, body = self.code.http_status, self._encoded_body()
         lines = [
             f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
             "Content-Type: application/json",
@@ -60,17 +60,19 @@
         ]
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
-    def _body(self) -> bytes:
+    def _encoded_body(self) -> bytes:
         return msgspec.json.encode(
             RefusalBody(self.code.number, self.code.name, self.detail, self.code.ran.value)
         )
 
     def response(self) -> web.Response:
-        """Return the answer as it goes out."""
+        """Return the refusal as an HTTP response."""
         headers = {"Content-Type": "application/json"}
         if self.retry_after is not None:
             headers[RETRY_AFTER] = f"{self.retry_after:.3f}"
-        response = web.Response(status=self.code.http_status, body=self._body(), headers=headers)
+        response = web.Response(
+            status=self.code.http_status, body=self._encoded_body(), headers=headers
+        )
         if self.close:
             response.force_close()
         return response
--- a/src/corkcrank/node/process/background.py
+++ b/src/corkcrank/node/process/background.py
@@ -1,4 +1,4 @@
-"""What a node does in the background beside its loops of membership and the store."""
+"""Background tasks of a node: registration in the store, and measurement of event loop lag."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from corkcrank.node.telemetry.metrics import NodeMetrics
 
 REGISTER_RETRY_SECONDS = 1.0
-"""Pause before a failed registration in the store is tried again."""
+"""Pause before a failed registration in the store is retried."""
 
 LAG_PROBE_SECONDS = 0.5
 """Time between measurements of the event loop's lag."""
@@ -19,9 +19,9 @@
 async def register(
     process: NodeProcessSettings, store: MetadataStore, fleet: Fleet, heartbeats: HeartbeatLoop
 ) -> None:
-    """Write the own address to the store, then read the others' once.
+    """Write this node's address to the store, then read the addresses of the others once.
 
-    Of two that start together, the one that reads last sees the other.
+    If two nodes start at the same time, the one that reads last finds the other.
     """
     value = process.peer_address.encode()
     while isinstance(await store.put(StoreTable.MEMBERS, process.name, value), StoreFailure):
@@ -34,9 +34,9 @@
 
 
 async def measure_lag(metrics: NodeMetrics, fleet: Fleet) -> None:
-    """Measure for ever how late the event loop runs, and count the live members."""
+    """Measure periodically how late the event loop runs, and count the live members."""
     while True:
-        due = clock.now() + LAG_PROBE_SECONDS
+        scheduled_at = clock.now() + LAG_PROBE_SECONDS
         await asyncio.sleep(LAG_PROBE_SECONDS)
-        metrics.loop_lag.observe(max(0.0, clock.now() - due))
+        metrics.loop_lag.observe(max(0.0, clock.now() - scheduled_at))
         metrics.members.set(len(fleet.live(clock.now())) + 1)
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -1,4 +1,4 @@
-"""Wires one gateway for opaque calls together: start, membership, drain, stop."""
+"""Connects the components of one gateway for opaque calls, and starts, drains and stops it."""
 
 import asyncio
 import random
@@ -48,12 +48,12 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 FREE_SECONDS = 0.1
-"""Longest wait of a stop for workers to be told of results given up. With the time that
-servers take to close it stays below the reserve that a drain keeps of its grace."""
+"""Maximum time at a stop to send workers the release of results. With the time that servers
+take to close, it stays below the part of the grace period that a drain reserves."""
 
 
 class Node:
-    """One gateway."""
+    """One gateway for opaque calls, with all of its components."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         )
         self._election = StoreFollowerElection(self.fleet, settings.bounds.shortest)
         self.mirror = StoreMirror(ports.store, ports.documents, log, random_source, self._election)
-        self.mirror.on_change = self._changed
+        self.mirror.on_change = self._on_mirror_change
         self._capacity_log = CapacityLog(self.mirror, log)
         self._worker_statistics = WorkerStatisticsTable()
         self._engines = EngineChooser()
@@ -176,7 +176,7 @@
         self._quarantine_rows = QuarantineRows(
             ports.store, self.mirror, self.fleet, self._election, self.crash_watch, log
         )
-        self.heartbeats.on_suspended = self._note_suspension
+        self.heartbeats.on_suspended = self._on_suspension
         self.mirror.on_store_change = self.heartbeats.pass_on_soon
         dispatch.owners.on_wait = self.heartbeats.probe
         prefill_grants.on_silence = self.heartbeats.probe
@@ -196,22 +196,22 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers to this gateway."""
         return self.listener_state.ready
 
     def take_settings(self, settings: NodeSettings) -> None:
-        """Put the bounds and limits of a changed settings file in force."""
+        """Apply the bounds and limits of a changed settings file."""
         self._settings = settings
         self._election.shortest_bound = settings.bounds.shortest
         self.services.take_bounds(settings.bounds)
         self.listener_state.connection_limit = connection_limit(settings.limits)
 
     def dump(self) -> NodeDump:
-        """Return the state for ``/dump``."""
+        """Return the state dump for ``/dump``."""
         return make_dump(self.services, self.stage_owner, self.life.state, self.callers.in_flight)
 
     async def start(self) -> None:
-        """Serve peers first, then follow the store, then callers."""
+        """Open the servers for peers, readiness and callers, then start the background loops."""
         process = self._settings.process
         self._log.write(LogEvent.STARTED, name=process.name, zone=process.zone)
         port = process.peer_address.rsplit(":", 1)[1]
@@ -241,16 +241,16 @@
     async def stop(self, signalled_at: float | None = None) -> None:
         """Drain, then close everything.
 
-        ``signalled_at`` is when the signal came, on the clock of :mod:`clock`; now without it.
+        ``signalled_at`` is the time of the signal on the clock of :mod:`clock`, by default now.
         """
         now = clock.now()
         await self._drain(now if signalled_at is None else signalled_at)
         self.services.cutting = True
         await asyncio.gather(self.callers.stop(), self._peer_server.stop())
-        await self._settle_frees()
+        await self._send_pending_releases()
         await self.stage_owner.close()
         await self.crash_watch.close()
-        await self._end_loops()
+        await self._cancel_loops()
         self.heartbeats.close()
         if self._readiness is not None:
             await self._readiness.cleanup()
@@ -259,22 +259,22 @@
         self._log.write(LogEvent.STOPPED)
         self._log.flush()
 
-    async def _settle_frees(self) -> None:
-        """Tell workers of the results that ended calls held, before connections close.
+    async def _send_pending_releases(self) -> None:
+        """Send workers the release of ended calls' results before connections close.
 
-        Otherwise those results hold room for seconds that the next owner lacks, and tasks fail
-        on closed sessions.
+        Otherwise those results use result memory for seconds that the next owner needs, and
+        tasks fail on closed sessions.
         """
         await asyncio.gather(
             self.services.dispatch.owners.settle(FREE_SECONDS),
             self.stage_owner.room.settle(FREE_SECONDS),
         )
 
-    async def _end_loops(self) -> None:
-        """Cancel the loops until they have ended.
+    async def _cancel_loops(self) -> None:
+        """Cancel the background loops repeatedly until all have ended.
 
-        A library that handles its own time-out in the same moment may lose a cancellation;
-        a loop that went on after one held the process until it was killed.
+        A library that handles its own timeout at the same time may lose a cancellation; a loop
+        that continued after one kept the process running until it was killed.
         """
         running = {task for task in self._loops if not task.done()}
         while running:
@@ -284,15 +284,15 @@
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
-        task.add_done_callback(self._report_end)
+        task.add_done_callback(self._log_task_failure)
         return task
 
-    def _report_end(self, task: asyncio.Task[None]) -> None:
+    def _log_task_failure(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self._log.write(LogEvent.INTERNAL_FAULT, error=repr(task.exception()))
 
-    def _note_suspension(self, seconds: float) -> None:
-        """Trust no idle connection after the machine was suspended; all ages count the time."""
+    def _on_suspension(self, seconds: float) -> None:
+        """Drop all idle connections after a suspension of the machine; ages include its time."""
         dropped = self._client.drop_all_idle() + self._peers.drop_all_idle()
         dropped += self._ports.store.drop_all_idle()
         self.services.metrics.suspensions.inc()
@@ -300,7 +300,7 @@
             LogEvent.MACHINE_SUSPENDED, seconds=round(seconds, 3), connections_dropped=dropped
         )
 
-    def _changed(self) -> None:
+    def _on_mirror_change(self) -> None:
         self.services.metrics.configuration_version.set(self.mirror.version)
         listed = {record.worker_id for record in self.mirror.workers.records()}
         self._capacity_log.note()
@@ -319,8 +319,8 @@
             self._log.write(LogEvent.READY, version=self.mirror.version)
 
     async def _drain(self, signalled_at: float) -> None:
-        """Finish what is in flight within the grace, then take no more."""
-        began = clock.now()
+        """Finish the calls in flight within the grace period, then accept no more."""
+        started_at = clock.now()
         self.life.fire(ProcessTrigger.DRAIN)
         self.fleet.own_phase = Phase.LEAVING
         self.heartbeats.tell_soon()
@@ -328,7 +328,7 @@
             LogEvent.STOPPING,
             in_flight=self.callers.in_flight,
             grace=self._settings.bounds.grace,
-            signal_age=round(began - signalled_at, 3),
+            signal_age=round(started_at - signalled_at, 3),
         )
         schedule = DrainSchedule.after_signal(signalled_at, self._settings.bounds.grace)
         self.services.drain = schedule
@@ -339,5 +339,5 @@
         self._log.write(
             LogEvent.DRAINED,
             in_flight=self.callers.in_flight,
-            seconds=round(clock.now() - began, 3),
+            seconds=round(clock.now() - started_at, 3),
         )
--- a/src/corkcrank/node/process/node_process.py
+++ b/src/corkcrank/node/process/node_process.py
@@ -1,4 +1,4 @@
-"""The process around one gateway for opaque calls: settings, signals, log, loop."""
+"""Runs one gateway for opaque calls as a process: settings, signals, log and event loop."""
 
 import asyncio
 import os
@@ -18,11 +18,15 @@
 from corkcrank.platform.ports import SETTINGS_VARIABLE, connect
 
 EXIT_SETTINGS = 3
-"""Exit status of a gateway whose settings are wrong."""
+"""Exit status of a gateway whose settings file is missing or invalid."""
 
 
 def serve(arguments: Sequence[str]) -> None:
-    """Serve until SIGTERM; the settings file is the first argument or the platform's."""
+    """Serve until SIGTERM or SIGINT.
+
+    The settings file is the first argument, or else the one that the platform names in the
+    environment.
+    """
     path = Path(arguments[0] if arguments else os.environ.get(SETTINGS_VARIABLE, ""))
     result = load_node_settings(path)
     if result.is_error():
@@ -52,19 +56,19 @@
 def _watch_signals(loop: asyncio.AbstractEventLoop) -> asyncio.Future[float]:
     """Return a future of the time of the first signal to stop, on the clock of :mod:`clock`.
 
-    The grace runs from the signal, also during a start or while the loop is held up. So the
-    time is taken by a handler that runs between two instructions; one of the loop would run
-    when the loop gets round to it (1.5 s late after a stall of 1.5 s).
+    The grace period starts at the signal, also during a start or while the event loop is
+    blocked. So a handler that runs between two instructions records the time; a handler of the
+    event loop would run only after the loop is free again (1.5 s late after a stall of 1.5 s).
     """
     signalled: asyncio.Future[float] = loop.create_future()
 
-    def keep(at: float) -> None:
+    def set_first(at: float) -> None:
         if not signalled.done():
             signalled.set_result(at)
 
-    def note(number: int, frame: FrameType | None) -> None:
-        loop.call_soon_threadsafe(keep, clock.now())
+    def record_signal(number: int, frame: FrameType | None) -> None:
+        loop.call_soon_threadsafe(set_first, clock.now())
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, note)
+        signal.signal(number, record_signal)
     return signalled
--- a/src/corkcrank/node/process/settings_watcher.py
+++ b/src/corkcrank/node/process/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Takes up a changed settings file, with a signal or without one."""
+"""Reloads the node's settings file when it changes, on a signal or by polling."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 
 LOOK_SECONDS = 2.0
-"""Time between looks at the file: it may change without a signal."""
+"""Polling interval of the file, as it may change without a signal."""
 
 
 class SettingsWatcher:
-    """Hands changed settings on; what is wrong is logged, and the former ones stay.
+    """Applies changed settings; invalid ones are logged, and the previous ones stay in force.
 
-    Bounds are taken up at once. Names, addresses and the store are those of the start: the
-    log tells when the file has others.
+    Bounds apply at once. Names, addresses and the store apply at the next start only: the log
+    names the changed sections.
     """
 
     def __init__(
@@ -23,38 +23,38 @@
         path: Path,
         settings: NodeSettings,
         log: DecisionLog,
-        take: Callable[[NodeSettings], None],
+        apply: Callable[[NodeSettings], None],
     ) -> None:
         self._path = path
         self._settings = settings
         self._log = log
-        self._take = take
-        self._rejected = ""
+        self._apply = apply
+        self._last_error = ""
 
     async def watch(self) -> None:
-        """Look at the file for ever."""
+        """Poll the file until cancelled."""
         while True:
             await asyncio.sleep(LOOK_SECONDS)
             self.look()
 
     def look(self) -> None:
-        """Read the file, and take it up if it has changed."""
+        """Read the file, and apply its settings if they have changed."""
         result = load_node_settings(self._path)
         if result.is_error():
             detail = result.error.detail
-            if detail != self._rejected:
-                self._rejected = detail
+            if detail != self._last_error:
+                self._last_error = detail
                 self._log.write(LogEvent.SETTINGS_REJECTED, detail=detail)
             return
-        self._rejected = ""
+        self._last_error = ""
         settings = result.ok
         if settings == self._settings:
             return
-        waits = [
+        restart_sections = [
             name
             for name in ("process", "store", "peers")
             if getattr(settings, name) != getattr(self._settings, name)
         ]
         self._settings = settings
-        self._take(settings)
-        self._log.write(LogEvent.SETTINGS_RELOADED, waits_for_next_start=waits)
+        self._apply(settings)
+        self._log.write(LogEvent.SETTINGS_RELOADED, waits_for_next_start=restart_sections)
--- a/src/corkcrank/node/process/state_collector.py
+++ b/src/corkcrank/node/process/state_collector.py
@@ -1,4 +1,4 @@
-"""Metrics that are read from the state of a gateway when somebody asks for them."""
+"""Exports metrics that are computed from the state of a gateway at each scrape."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -14,9 +14,10 @@
 
 
 class StateCollector(Collector):
-    """Calls to the store, ages of what it told, repeats left, queues; no cost for calls.
+    """Collects store calls and ages, repeats left, quarantined requests, limits and queues.
 
-    Label values are names of the configuration, of tables and of workers.
+    Computing them at a scrape adds no cost to calls. Label values are names of the
+    configuration, of tables and of workers.
     """
 
     def __init__(self, services: CallServices, stage_owner: StageOwner) -> None:
@@ -24,11 +25,11 @@
         self._stage_owner = stage_owner
 
     def describe(self) -> list[Metric]:
-        """Return nothing: the names are known once there is something to tell."""
+        """Return nothing: the label values are known only once there are samples."""
         return []
 
     def collect(self) -> Iterator[Metric]:
-        """Return the figures of this moment."""
+        """Return the current values."""
         now = clock.now()
         yield self._store_calls()
         yield self._store_ages(now)
@@ -51,13 +52,13 @@
     def _store_ages(self, now: float) -> Metric:
         family = GaugeMetricFamily(
             "corkcrank_store_age_seconds",
-            "Time since the store last answered this gateway or one that it hears.",
+            "Time since the store last answered this gateway or a peer that sends it updates.",
             labels=("table",),
         )
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
             age = self._services.mirror.age(table, now)
-            told = now - self._services.fleet.confirmed_at(table)
-            family.add_metric((table.value,), min(age, told))
+            reported_age = now - self._services.fleet.confirmed_at(table)
+            family.add_metric((table.value,), min(age, reported_age))
         return family
 
     def _repeats_left(self, now: float) -> Metric:
@@ -71,7 +72,7 @@
     def _requests(self, now: float) -> Metric:
         family = GaugeMetricFamily(
             "corkcrank_requests_that_crash",
-            "Requests under which workers ended, by what is held of them.",
+            "Requests suspected of crashing workers, by state of the quarantine.",
             labels=("state",),
         )
         quarantine = self._services.crash_watch.quarantine
@@ -85,13 +86,13 @@
     def _evacuated_zones(self) -> Metric:
         zones = len(self._services.mirror.workers.evacuated)
         return GaugeMetricFamily(
-            "corkcrank_evacuated_zones", "Zones whose workers get nothing.", value=zones
+            "corkcrank_evacuated_zones", "Zones whose workers get no calls.", value=zones
         )
 
     def _warming_workers(self, now: float) -> Metric:
         family = GaugeMetricFamily(
             "corkcrank_warming_workers",
-            "Workers that get no more than they bear while they warm up, by service.",
+            "Workers whose call rate is limited while they warm up, by service.",
             labels=("service",),
         )
         services = Counter(worker.service for worker in self._services.limits.warming(now))
@@ -102,7 +103,7 @@
     def _limited_workers(self, now: float) -> Metric:
         family = GaugeMetricFamily(
             "corkcrank_limited_workers",
-            "Workers that name how many requests a second they take, by service.",
+            "Workers that state a limit of requests per second, by service.",
             labels=("service",),
         )
         services: Counter[str] = Counter()
@@ -117,13 +118,15 @@
     def _queues(self) -> Iterator[Metric]:
         labels = ("worker",)
         waiting = GaugeMetricFamily(
-            "corkcrank_stage_pieces_waiting", "Pieces before a stage worker.", labels=labels
+            "corkcrank_stage_pieces_waiting", "Pieces waiting for a stage worker.", labels=labels
         )
         used = GaugeMetricFamily(
-            "corkcrank_stage_room_used_bytes", "Room that results hold or will.", labels=labels
+            "corkcrank_stage_room_used_bytes", "Result memory in use or reserved.", labels=labels
         )
         wanted = GaugeMetricFamily(
-            "corkcrank_stage_room_wanted_bytes", "Room that waiting pieces want.", labels=labels
+            "corkcrank_stage_room_wanted_bytes",
+            "Result memory that waiting pieces need.",
+            labels=labels,
         )
         for worker_id, queue in self._stage_owner.queues():
             waiting.add_metric((worker_id,), queue.waiting)
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -1,4 +1,4 @@
-"""The state of one gateway for opaque calls, on request."""
+"""Builds the state dump of one gateway for opaque calls, as ``/dump`` returns it."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class RouteDump(msgspec.Struct, frozen=True):
-    """A route in force: where it leads and its times, in seconds."""
+    """A configured route: its services and stages; objective and timeout are in seconds."""
 
     name: str
     host: str
@@ -24,10 +24,10 @@
 
 
 class WorkerDump(msgspec.Struct, frozen=True):
-    """A worker as this gateway sees it; ``avoided`` is for how many seconds more.
+    """A worker as this gateway sees it; ``avoided`` is the seconds for which it gets no calls.
 
-    ``warming`` says that it gets no more than its service's workers bear while they warm up,
-    ``rate_limit`` how many requests a second it gets for that or any other reason.
+    ``warming`` says whether its rate is limited to what its service permits during warm-up.
+    ``rate_limit`` is its limit of requests per second, from warm-up or any other cause.
     """
 
     worker_id: str
@@ -45,7 +45,7 @@
 
 
 class QueueDump(msgspec.Struct, frozen=True):
-    """The queue before a stage worker that this gateway fills; room is in bytes."""
+    """The queue of a stage worker that this gateway owns; ``room`` is result memory in bytes."""
 
     worker_id: str
     waiting: int
@@ -56,9 +56,9 @@
 
 
 class RequestDump(msgspec.Struct, frozen=True):
-    """A request under which workers ended; kept from workers for ``seconds`` more.
+    """A request during which workers crashed; it is not sent to workers for ``seconds`` more.
 
-    ``rival`` is the request that was at most of these workers too, where this one is blamed.
+    ``rival`` is the request that was at most of these workers too, if this one is blamed.
     """
 
     request: str
@@ -69,7 +69,7 @@
 
 
 class MemberDump(msgspec.Struct, frozen=True):
-    """Another gateway, and how long ago it was heard, in seconds."""
+    """Another gateway; ``silent`` is the seconds since its last heartbeat was received."""
 
     name: str
     zone: str
@@ -78,10 +78,10 @@
 
 
 class NodeDump(msgspec.Struct, frozen=True):
-    """Everything that decides what becomes of a call here.
+    """The state that determines how this gateway handles a call.
 
-    ``unreadable_entries`` holds the reason for each row that names no worker, as far as this
-    gateway read it from the store itself.
+    ``unreadable_entries`` has the reason for each row that could not be read as a worker, for
+    rows that this gateway read from the store itself.
     """
 
     name: str
@@ -105,7 +105,7 @@
 def make_dump(
     services: CallServices, stage_owner: StageOwner, state: str, in_flight: int
 ) -> NodeDump:
-    """Return the state of this moment."""
+    """Return the current state."""
     now = clock.now()
     mirror = services.mirror
     return NodeDump(
--- a/src/corkcrank/node/telemetry/__init__.py
+++ b/src/corkcrank/node/telemetry/__init__.py
@@ -1,5 +1,5 @@
-"""Metrics of a node, and log lines that several jobs share.
+"""Metrics of a node, and log writers that several packages share.
 
-State: counters and histograms, and what was logged last. Calls nothing of the node; every
-package may call it.
+State: counters and histograms, and the values that were logged last. Calls no other package of
+the node; every package may call it.
 """
--- a/src/corkcrank/node/telemetry/capacity_log.py
+++ b/src/corkcrank/node/telemetry/capacity_log.py
@@ -1,28 +1,28 @@
-"""Tells in the log when a service gains or loses workers, and what that leaves."""
+"""Logs each change in the number of a service's usable workers, with the remaining capacity."""
 
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.machines.store_mirror import StoreMirror
 
 
 class CapacityLog:
-    """Remembers the usable workers of each service; one line for each change of their number."""
+    """Writes one log line for each change in the number of a service's usable workers."""
 
     def __init__(self, mirror: StoreMirror, log: DecisionLog) -> None:
         self._mirror = mirror
         self._log = log
-        self._told: dict[str, int] = {}
+        self._logged_counts: dict[str, int] = {}
 
     def note(self) -> None:
-        """Compare the services in force with what was told last."""
+        """Compare the configured services with the numbers logged last, and log differences."""
         configuration = self._mirror.configuration
         if configuration is None or not self._mirror.workers_known:
             return
         for profile in configuration.services:
             workers = self._mirror.workers.usable(profile.name)
-            before = self._told.get(profile.name)
+            before = self._logged_counts.get(profile.name)
             if before == len(workers):
                 continue
-            self._told[profile.name] = len(workers)
+            self._logged_counts[profile.name] = len(workers)
             stage = profile.stage
             self._log.write(
                 LogEvent.CAPACITY_CHANGED,
--- a/src/corkcrank/node/telemetry/metrics.py
+++ b/src/corkcrank/node/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a node; label values never come from callers."""
+"""Defines the counters, gauges and histograms of a node; callers never set label values."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
@@ -6,17 +6,17 @@
 """Upper bounds of latency histograms, in seconds."""
 
 RATIO_BUCKETS = (0.25, 0.5, 0.8, 1.0, 1.25, 1.5, 2.0, 3.0, 5.0)
-"""Upper bounds of measured over forecast times."""
+"""Upper bounds of the ratio of measured to forecast times."""
 
 LAG_BUCKETS = (0.001, 0.005, 0.02, 0.05, 0.1, 0.5)
 """Upper bounds of the event loop's lag, in seconds."""
 
 RELEASE_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0)
-"""Upper bounds of the time for which work goes on after a caller's close, in seconds."""
+"""Upper bounds of the time for which work continues after a caller disconnects, in seconds."""
 
 
 class NodeMetrics:
-    """The metrics of one gateway, in a registry of their own."""
+    """The metrics of one gateway, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -28,83 +28,83 @@
         )
         self.seconds = Histogram(
             "corkcrank_call_seconds",
-            "Time to the first byte of an answer.",
+            "Time to the first byte of a response.",
             ("kind",),
             buckets=BUCKETS,
             registry=self.registry,
         )
         self.held = Histogram(
             "corkcrank_held_seconds",
-            "Time from a call's arrival to its end, of calls without a worker's answer.",
+            "Time from arrival to end of calls without a worker's response.",
             ("cause",),
             buckets=BUCKETS,
             registry=self.registry,
         )
         self.attempts = Counter(
             "corkcrank_attempts",
-            "Requests sent to workers, by how they ended.",
+            "Requests sent to workers, by outcome.",
             ("outcome",),
             registry=self.registry,
         )
         self.verdicts = Counter(
             "corkcrank_worker_verdicts",
-            "Changes of what is held of a worker that fails calls, by the new verdict.",
+            "Changes of the verdict on a worker that fails calls, by the new verdict.",
             ("verdict",),
             registry=self.registry,
         )
         self.suspensions = Counter(
             "corkcrank_suspensions",
-            "Suspensions of the machine that this process lived through.",
+            "Suspensions of the machine during this process.",
             registry=self.registry,
         )
         self.worker_ends = Counter(
             "corkcrank_worker_ends",
-            "Requests with which a worker ended, by service; one for each worker and request.",
+            "Requests in progress at crashed workers, by service; one per worker and request.",
             ("service",),
             registry=self.registry,
         )
         self.quarantines = Counter(
             "corkcrank_request_quarantines",
-            "Requests quarantined, since workers ended under them.",
+            "Requests quarantined because workers crashed during them.",
             registry=self.registry,
         )
         self.verdicts_taken_back = Counter(
             "corkcrank_request_verdicts_taken_back",
-            "Requests that are quarantined no more, since other requests explain the ends.",
+            "Requests released from quarantine because other requests explain the crashes.",
             registry=self.registry,
         )
         self.unreadable_crash_reports = Counter(
             "corkcrank_unreadable_crash_reports",
-            "Reports of ended workers that were not believed, by what is wrong with them.",
+            "Reports of crashed workers that were rejected, by problem.",
             ("problem",),
             registry=self.registry,
         )
         self.limit_held_back = Counter(
             "corkcrank_limit_held_back",
-            "Calls for which workers were at their limits, by what followed.",
+            "Calls for which workers were at their limits, by outcome.",
             ("outcome",),
             registry=self.registry,
         )
         self.rate_limit_changes = Counter(
             "corkcrank_rate_limit_changes",
-            "Answers of workers that changed the rate limit they name, by what they changed.",
+            "Responses of workers that changed their stated rate limit, by kind of change.",
             ("change",),
             registry=self.registry,
         )
         self.unknown_headers = Counter(
             "corkcrank_unknown_headers",
-            "Headers of workers' answers that nothing knows.",
+            "Unknown headers in workers' responses.",
             registry=self.registry,
         )
         self.refusals = Counter(
             "corkcrank_refusals",
-            "Answers of this gateway's own, by cause.",
+            "Responses that this gateway generated itself, by cause.",
             ("cause",),
             registry=self.registry,
         )
         self.silent_connections = Counter(
             "corkcrank_silent_connections",
-            "Connections dropped since no byte came or was accepted in time, by kind.",
+            "Connections dropped because no byte was received or accepted in time, by kind.",
             ("kind",),
             registry=self.registry,
         )
@@ -116,7 +116,7 @@
         )
         self.reserved_headers = Counter(
             "corkcrank_reserved_headers",
-            "Headers of callers that were dropped, as only a gateway may set them.",
+            "Callers' headers dropped because only a gateway may set them.",
             ("header",),
             registry=self.registry,
         )
@@ -125,24 +125,24 @@
         )
         self.connections_closed = Counter(
             "corkcrank_connections_closed",
-            "Connections of callers closed for new ones, by what they waited for.",
+            "Connections of callers closed to admit new ones, by what they waited for.",
             ("phase",),
             registry=self.registry,
         )
         self.callers_left = Counter(
             "corkcrank_callers_left_early",
-            "Callers that had left before their connection was accepted.",
+            "Callers that had disconnected before their connection was accepted.",
             registry=self.registry,
         )
         self.forecast_ratio = Histogram(
             "corkcrank_stage_forecast_ratio",
-            "Measured time of a call's stages over the forecast one.",
+            "Ratio of measured to forecast time of a call's stages.",
             buckets=RATIO_BUCKETS,
             registry=self.registry,
         )
         self.prompt_tokens = Counter(
             "corkcrank_prompt_tokens",
-            "Prompt tokens of admitted calls, believed kept at the first choice or read anew.",
+            "Prompt tokens of admitted calls, estimated as cached at the first choice or new.",
             ("cache",),
             registry=self.registry,
         )
@@ -154,15 +154,15 @@
         )
         self.release = Histogram(
             "corkcrank_release_seconds",
-            "Time from a caller's close, or a call's word to its pieces' owner, to the release"
-            " of the last worker.",
+            "Time from a caller's disconnect, or a call's message to its pieces' owner, to the"
+            " release of the last worker.",
             ("step",),
             buckets=RELEASE_BUCKETS,
             registry=self.registry,
         )
         self.configuration_version = Gauge(
             "corkcrank_configuration_version",
-            "Version in force.",
+            "Version of the configuration in force.",
             registry=self.registry,
         )
         self.members = Gauge(
@@ -176,11 +176,11 @@
         )
 
     def released(self, step: str, seconds: float) -> None:
-        """Note that no worker is at work any more for a call whose caller has left."""
+        """Record the seconds until no worker runs a call any more whose caller has disconnected."""
         self.release.labels(step).observe(seconds)
 
     def refusals_by_cause(self) -> dict[str, int]:
-        """Return how many answers of its own this gateway gave, by cause."""
+        """Return how many responses this gateway generated itself, by cause."""
         return {
             sample.labels["cause"]: int(sample.value)
             for family in self.refusals.collect()
--- a/src/corkcrank/node/telemetry/silence_log.py
+++ b/src/corkcrank/node/telemetry/silence_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts the connections that were dropped for silence."""
+"""Logs and counts connections that were dropped because the other side stopped responding."""
 
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.links.silence import SilentConnection
@@ -6,14 +6,14 @@
 
 
 class SilenceLog:
-    """Listens for all kinds of connections of one gateway."""
+    """Receives the dropped connections of one gateway, of all kinds."""
 
     def __init__(self, log: DecisionLog, metrics: NodeMetrics) -> None:
         self._log = log
         self._metrics = metrics
 
     def note(self, connection: SilentConnection) -> None:
-        """Take one connection that was dropped."""
+        """Record one connection that was dropped."""
         self._metrics.silent_connections.labels(connection.kind.value).inc()
         self._log.write(
             LogEvent.CONNECTION_SILENT,
--- a/src/corkcrank/node/telemetry/unreadable_log.py
+++ b/src/corkcrank/node/telemetry/unreadable_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts the documents about workers that could not be read."""
+"""Logs and counts documents about workers that could not be decoded."""
 
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.links.unreadable_documents import UnreadableDocument
@@ -6,14 +6,14 @@
 
 
 class UnreadableLog:
-    """Listens for entries and reports of one gateway; the log bounds its lines by itself."""
+    """Receives the unreadable entries and reports of one gateway; the log limits its own rate."""
 
     def __init__(self, log: DecisionLog, metrics: NodeMetrics) -> None:
         self._log = log
         self._metrics = metrics
 
     def note(self, document: UnreadableDocument) -> None:
-        """Take one document that was passed over."""
+        """Record one document that was skipped."""
         self._metrics.unreadable_documents.labels(document.kind.value).inc()
         self._log.write(
             LogEvent.DOCUMENT_UNREADABLE,
