--- a/src/corkcrank/links/__init__.py
+++ b/src/corkcrank/links/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to callers, back ends, platform and peers."""
+"""Protocols and connections to callers, back ends, the platform and peers."""
--- a/src/corkcrank/links/back_ends.py
+++ b/src/corkcrank/links/back_ends.py
@@ -1,7 +1,7 @@
-"""Calls to back ends over HTTP.
+"""HTTP client for back ends.
 
-Each call says how far it got: :class:`NotSent` only when the connection was never made,
-:class:`Broken` for anything later. Nothing here retries.
+A failed call returns how far it got: :class:`NotSent` only if no connection was made or the
+back end refused the call, :class:`Broken` for any later failure. Nothing here retries.
 """
 
 from collections.abc import AsyncGenerator
@@ -25,37 +25,37 @@
 from corkcrank.links.traffic import UNUSED_HEADERS, ControlTraffic
 
 CONNECT_SECONDS = 0.5
-"""Longest wait for a connection."""
+"""Timeout for opening a connection."""
 
 POLL_SECONDS = 0.8
-"""Longest wait for a load report or the machine list."""
+"""Timeout for reading a load report or the machine list."""
 
 ORDER_SECONDS = 0.8
-"""Longest flight of an order; below :data:`LONGEST_FLIGHT_SECONDS` of leases."""
+"""Timeout for an order; must stay below :data:`LONGEST_FLIGHT_SECONDS` of leases."""
 
 LOAD_REPORT_BYTES = 130
-"""Size of a load report, for the count of control traffic."""
+"""Assumed size of a load report in the count of control traffic."""
 
 PLAIN_RESULT_SECONDS = 60.0
-"""Longest wait for a plain service, kept up in the background after the deadline."""
+"""Timeout for a plain service; the wait continues in the background after the deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte left this process."""
+    """A call of which no byte left this process, or which the back end refused before any work."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes may have left this process; no whole answer came back."""
+    """A call of which bytes may have been sent, without a complete answer."""
 
     reason: str
 
 
 class BackEndError(Exception):
-    """A stream could not be opened or was cut; ``sent`` tells whether bytes left."""
+    """A failure to open or finish a stream; ``sent`` is whether bytes may have left."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -66,7 +66,7 @@
 
 
 class BackEndClient:
-    """The client side of every back end protocol."""
+    """Client of every back end protocol."""
 
     def __init__(self, traffic: ControlTraffic) -> None:
         self._traffic = traffic
@@ -74,8 +74,8 @@
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=10.0),
             skip_auto_headers=UNUSED_HEADERS,
         )
-        # A kept-alive connection can die while a call is being written, which leaves
-        # open whether the call was sent; unrepeatable calls get a fresh connection.
+        # A kept-alive connection can fail while a call is being written, and then it is
+        # unknown whether the call was sent; unrepeatable calls use a new connection.
         self._fresh_session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True)
         )
@@ -96,14 +96,14 @@
     async def call_plain(
         self, address: str, call: PlainCall, timeout: float, fresh: bool
     ) -> PlainAnswer | NotSent | Broken:
-        """Call a plain service; ``fresh`` forbids a kept-alive connection."""
+        """Call a plain service; ``fresh`` forbids reuse of a kept-alive connection."""
         session = self._fresh_session if fresh else self._session
         return await _post(session, address, "/v1/call", call, PlainAnswer, timeout)
 
     async def generate(
         self, address: str, call: GenerateCall, timeout: float
     ) -> AsyncGenerator[TokenChunk, None]:
-        """Yield an engine's chunks; raises :class:`BackEndError` when cut."""
+        """Yield an engine's chunks; raises :class:`BackEndError` if the stream fails."""
         sent = False
         try:
             async with self._session.post(
@@ -122,7 +122,7 @@
             raise BackEndError(type(error).__name__, sent=True) from error
 
     async def cancel(self, address: str, attempt: str) -> None:
-        """Tell an engine that nobody waits for ``attempt`` any more."""
+        """Ask an engine to cancel ``attempt``; failures are ignored."""
         try:
             async with self._session.post(
                 f"http://{address}/v1/cancel/{attempt}", timeout=_timeout(POLL_SECONDS)
@@ -138,11 +138,11 @@
         return report
 
     async def order(self, address: str, order: ModelOrder) -> LoadReport | NotSent | Broken:
-        """Send a fenced order; the answer is the state the back end really holds."""
+        """Send a fenced order; returns the actual state of the back end."""
         return await _post(self._session, address, "/v1/orders", order, LoadReport, ORDER_SECONDS)
 
     async def machine_list(self, address: str) -> MachineList | None:
-        """Read the platform's list; an unchanged one costs no transfer."""
+        """Read the platform's machine list; an unchanged list is not transferred again."""
         headers = {"If-None-Match": self._machine_list_tag} if self._machine_list_tag else {}
         try:
             async with self._session.get(
@@ -180,7 +180,7 @@
         ) as response:
             content = await response.read()
             if response.status == 503:
-                # By protocol a back end answers 503 only before it starts any work.
+                # The protocol allows status 503 only before the back end starts any work.
                 return NotSent("refused by the back end")
             if response.status != 200:
                 return Broken(f"status {response.status}")
--- a/src/corkcrank/links/claim_writer.py
+++ b/src/corkcrank/links/claim_writer.py
@@ -1,8 +1,8 @@
 """Group commit: single-row writes of one process share transactions.
 
-While one transaction is in flight, later writes gather and go out together in the next,
-so the table's writes a second grow with gateways rather than with requests, and a lone
-write never waits. A row whose condition failed is taken out and the others go again.
+Writes that arrive while a transaction is in flight are sent together in the next one. The
+number of transactions a second therefore grows with gateways rather than with requests, and
+a single write never waits. If the condition of a row fails, the other rows are retried.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 )
 
 MAXIMUM_BATCH = 64
-"""Most rows in one transaction."""
+"""Maximum number of rows in one transaction."""
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
 
 
 class ClaimWriter:
-    """Writes single rows, batched; ``transactions`` and ``writes`` count its work."""
+    """Writes single rows in batches; ``transactions`` and ``writes`` are running totals."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
@@ -42,7 +42,7 @@
     async def write(
         self, key: str, expected_revision: int, value: str
     ) -> Committed | Conflicted | Unanswered:
-        """Write one row if it still carries ``expected_revision``."""
+        """Write one row if it still has revision ``expected_revision``."""
         done: asyncio.Future[Committed | Conflicted | Unanswered] = (
             asyncio.get_running_loop().create_future()
         )
@@ -57,20 +57,20 @@
         while self._queue:
             batch = self._take_batch()
             outcome = await self._commit(batch)
-            self._settle(batch, outcome)
+            self._resolve_batch(batch, outcome)
 
     def _take_batch(self) -> list[_PendingWrite]:
-        # Two writes of one key must not share a transaction: the second expects the first.
+        # Two writes of one key must not share a transaction: the second depends on the first.
         batch: list[_PendingWrite] = []
         keys: set[str] = set()
-        rest: list[_PendingWrite] = []
+        remaining: list[_PendingWrite] = []
         for pending in self._queue:
             if len(batch) < MAXIMUM_BATCH and pending.write.key not in keys:
                 batch.append(pending)
                 keys.add(pending.write.key)
             else:
-                rest.append(pending)
-        self._queue = rest
+                remaining.append(pending)
+        self._queue = remaining
         return batch
 
     async def _commit(self, batch: list[_PendingWrite]) -> Committed | Conflicted | Unanswered:
@@ -79,25 +79,25 @@
         writes = [pending.write for pending in batch]
         return await self._table.commit(conditions, writes)
 
-    def _settle(
+    def _resolve_batch(
         self, batch: list[_PendingWrite], outcome: Committed | Conflicted | Unanswered
     ) -> None:
         match outcome:
             case Committed(rows=rows):
-                self._settle_committed(batch, rows)
+                self._resolve_committed(batch, rows)
             case Conflicted(rows=rows):
-                self._settle_conflicted(batch, rows)
+                self._resolve_conflicted(batch, rows)
             case Unanswered():
                 for pending in batch:
                     _resolve(pending, outcome)
 
     @staticmethod
-    def _settle_committed(batch: list[_PendingWrite], rows: tuple[Row, ...]) -> None:
+    def _resolve_committed(batch: list[_PendingWrite], rows: tuple[Row, ...]) -> None:
         by_key = {row.key: row for row in rows}
         for pending in batch:
             _resolve(pending, Committed((by_key[pending.write.key],)))
 
-    def _settle_conflicted(self, batch: list[_PendingWrite], rows: tuple[Row, ...]) -> None:
+    def _resolve_conflicted(self, batch: list[_PendingWrite], rows: tuple[Row, ...]) -> None:
         by_key = {row.key: row for row in rows}
         for pending in batch:
             row = by_key.get(pending.write.key)
--- a/src/corkcrank/links/closed_connections.py
+++ b/src/corkcrank/links/closed_connections.py
@@ -1,7 +1,7 @@
-"""How a TCP connection ends: whether the other end has closed it, and how a close looks there.
+"""Detects that the peer closed a TCP connection, and selects between FIN and reset on close.
 
-An event loop tells of a close only once everything before it was read: late while the loop
-is busy, and never while reading is paused.
+The functions read the state from the kernel: an event loop reports a close only after all
+earlier bytes were read, so late while the loop is busy, and never while reading is paused.
 """
 
 import asyncio
@@ -9,13 +9,13 @@
 import struct
 
 TCP_CLOSE, TCP_CLOSE_WAIT = 7, 8
-"""Linux's states of a connection after a reset, and after the end of the other side."""
+"""Linux TCP states after a reset and after a FIN of the peer."""
 
 
 def closed_by_peer(transport: asyncio.BaseTransport | None) -> bool:
-    """Return whether the other end sent its end or a reset, or the connection is closing here.
+    """Return whether the peer sent a FIN or a reset, or the connection is closing locally.
 
-    An end may be of the other's sending only; on the wire that looks as a close does.
+    A peer that shuts down only its sending side looks the same on the wire as one that closed.
     """
     if transport is None or transport.is_closing():
         return True
@@ -24,7 +24,7 @@
 
 
 def socket_closed_by_peer(connection: socket.socket) -> bool:
-    """Return whether the other end of a connection that is open here has closed it."""
+    """Return whether the peer closed a connection that is still open locally."""
     try:
         state = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     except OSError:
@@ -33,7 +33,7 @@
 
 
 def close_by_reset(transport: asyncio.BaseTransport | None, reset: bool) -> None:
-    """Have a close of a connection, by whatever cause, be seen as a reset, or properly again."""
+    """Set whether closing a connection, for any cause, sends a reset instead of a FIN."""
     if transport is None or transport.is_closing():
         return
     connection = transport.get_extra_info("socket")
--- a/src/corkcrank/links/datagrams.py
+++ b/src/corkcrank/links/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between members: small, unordered, lost now and then."""
+"""UDP datagrams between members: small, unordered and sometimes dropped."""
 
 import asyncio
 import socket
@@ -7,31 +7,31 @@
 from typing import Protocol
 
 MAXIMUM_DATAGRAM_BYTES = 8_192
-"""Longer messages are not sent; heartbeats are far smaller."""
+"""Maximum message size; longer messages are not sent. Heartbeats are far smaller."""
 
 READ_SECONDS = 0.04
-"""Time between looks at what has come: a sixth of the shortest time between two heartbeats of
-one member, and 1 in 25 of the wait for the answer to a probe."""
+"""Interval between reads of the socket: a sixth of the minimum interval between two heartbeats
+of one member, and 1/25 of the wait for the answer to a probe."""
 
 MOST_READ_TOGETHER = 256
-"""Datagrams that are handled before other work gets its turn, in about 2 ms."""
+"""Maximum number of datagrams handled before other tasks run; they take about 2 ms."""
 
 GROUP_MEMBERS = 8
-"""Members that are told at one moment: a slow link drops a longer burst of datagrams."""
+"""Maximum number of datagrams sent at once: a slow link drops longer bursts."""
 
 
 class DatagramSender(Protocol):
-    """Sends single datagrams."""
+    """Interface that sends single datagrams."""
 
     def send(self, data: bytes, address: str) -> None:
         """Send one datagram without waiting."""
 
 
 class DatagramLink:
-    """Sends and receives datagrams on one address; errors of the network are ignored.
+    """Sends and receives datagrams on one address; network errors are ignored.
 
-    Received datagrams are read together: a wake of the event loop for each of them would be
-    half of all wakes of an idle node in a large fleet.
+    Received datagrams are read in batches: one wake-up of the event loop for each datagram
+    would be half of all wake-ups of an idle node in a large fleet.
     """
 
     def __init__(self, on_message: Callable[[bytes], None]) -> None:
@@ -39,7 +39,7 @@
         self._socket: socket.socket | None = None
 
     async def open(self, address: str) -> None:
-        """Bind to ``ip:port``."""
+        """Bind to ``ip:port`` and starts receiving."""
         host, port = address.rsplit(":", 1)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
@@ -47,11 +47,11 @@
         self._read()
 
     def send(self, data: bytes, address: str) -> None:
-        """Send one datagram without waiting; it is lost where the link is full."""
+        """Send one datagram without waiting; drops it if the send buffer is full."""
         if self._socket is None or len(data) > MAXIMUM_DATAGRAM_BYTES:
             return
         host, port = address.rsplit(":", 1)
-        # Members come and go: nobody may listen there.
+        # The member may have exited, so that nothing listens at its address.
         with suppress(OSError):
             self._socket.sendto(data, (host, int(port)))
 
@@ -62,10 +62,10 @@
             self._socket = None
 
     def _read(self) -> None:
-        """Hand on what has come, and look again a moment later."""
+        """Handle the datagrams received so far and schedules the next read."""
         if self._socket is None:
             return
-        # First of all, so that a fault in handling a message does not end the reading.
+        # Scheduled first, so that an error in a message handler does not end the reads.
         asyncio.get_running_loop().call_later(READ_SECONDS, self._read)
         for _ in range(MOST_READ_TOGETHER):
             try:
@@ -73,7 +73,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # An earlier datagram found nobody; the next one may still have come.
+                # Reports that an earlier datagram was undeliverable; more may be waiting.
                 continue
             self._on_message(data)
             if self._socket is None:
@@ -83,10 +83,10 @@
 async def send_spread(
     link: DatagramSender, message: Callable[[], bytes], addresses: Sequence[str], seconds: float
 ) -> None:
-    """Send a message to every address in groups that are spread evenly over ``seconds``.
+    """Send a message to every address, in groups that are spread evenly over ``seconds``.
 
-    The message is made anew for each group, so that the last is told nothing old. Returns
-    after ``seconds``, also where there is no address.
+    The message is built again for each group, so that the last group gets current data.
+    Returns after ``seconds``, also if ``addresses`` is empty.
     """
     groups = max(1, -(-len(addresses) // GROUP_MEMBERS))
     for number in range(groups):
--- a/src/corkcrank/links/decision_log.py
+++ b/src/corkcrank/links/decision_log.py
@@ -1,8 +1,8 @@
-"""One structured line for each decision, to standard output, bounded and never blocking.
+"""Structured log of decisions on standard output, with bounded memory and no blocking.
 
-Lines go to a buffer that is written as fast as standard output takes them. When the
-buffer is full, or one kind comes too often, lines are left out and counted; the next line
-of that kind tells how many.
+Lines are buffered and written as fast as standard output accepts them. If the buffer is full,
+or one kind of line exceeds its rate, lines are left out and counted. The next line of a
+rate-limited kind carries the count.
 """
 
 import asyncio
@@ -17,17 +17,17 @@
 from corkcrank.contracts import clock
 
 BUFFER_BYTES = 256 * 1024
-"""Most bytes that wait for standard output."""
+"""Maximum number of bytes buffered for standard output."""
 
 LINES_A_SECOND = 200.0
-"""Lines of one kind that are written each second, on average."""
+"""Maximum average rate of one kind of line."""
 
 LINE_BURST = 400.0
-"""Lines of one kind that may be written at once."""
+"""Maximum number of lines of one kind that may be written at once."""
 
 
 class LogEvent(StrEnum):
-    """Every kind of line; the value is the sentence, with its part as prefix."""
+    """Every kind of line; the value is the sentence, prefixed with the component."""
 
     STARTED = "Process: started."
     STOPPING = "Process: stopping."
@@ -38,10 +38,10 @@
     READY = "Process: ready."
     NOT_READY = "Process: not ready."
     PROCESS_PAUSED = "Process: was paused."
-    MACHINE_SUSPENDED = "Process: its machine was suspended."
+    MACHINE_SUSPENDED = "Process: resumed after its machine was suspended."
     CONFIGURATION_ADOPTED = "Configuration: adopted."
     CONFIGURATION_UNREADABLE = "Configuration: unreadable."
-    WORKERS_TAKEN = "Workers: list taken."
+    WORKERS_TAKEN = "Workers: list applied."
     WORKER_CHANGED = "Workers: entry changed."
     DOCUMENT_UNREADABLE = "Workers: unreadable entry or report."
     REPORT_OUTDATED = "Workers: report of another incarnation."
@@ -62,17 +62,19 @@
     REQUEST_QUARANTINED = "Request: quarantined, workers end under it."
     REQUEST_AWAITS_VERDICT = "Request: waits for its verdict."
     REQUEST_FREED = "Request: verdict taken back."
-    EVIDENCE_INCOMPLETE = "Workers: a gateway is gone that may have had calls at ended ones."
-    CRASH_REPORT_UNREADABLE = "Members: report of an ended worker unreadable."
+    EVIDENCE_INCOMPLETE = (
+        "Workers: crash evidence incomplete, a gateway with possible calls is unreachable."
+    )
+    CRASH_REPORT_UNREADABLE = "Members: crash report unreadable."
     REQUEST_TRIED = "Request: tried on probation."
     REQUEST_CLEARED = "Request: ended well, cleared."
-    REQUEST_RELEASED = "Request: freed by an operator."
+    REQUEST_RELEASED = "Request: released by an operator."
     STORE_LOST = "Store: lost."
-    STORE_REGAINED = "Store: regained."
+    STORE_REGAINED = "Store: reachable again."
     MEMBER_JOINED = "Members: joined."
     MEMBER_SUSPECTED = "Members: suspected."
-    MEMBER_REGAINED = "Members: regained."
-    PULL_FAILED = "Members: nothing pulled."
+    MEMBER_REGAINED = "Members: reachable again."
+    PULL_FAILED = "Members: pull from a member failed."
     CONNECTIONS_CLOSED = "Callers: connections closed for new ones."
     CALLERS_LEFT = "Callers: left before they were accepted."
     CALL_REFUSED = "Call: refused."
@@ -95,7 +97,7 @@
 
 
 class BoundedOutput:
-    """Standard output that never blocks the loop."""
+    """Buffered output to a file descriptor that never blocks the event loop."""
 
     def __init__(self, descriptor: int = 1, limit: int = BUFFER_BYTES) -> None:
         self._descriptor = descriptor
@@ -109,7 +111,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Queue one line, or leave it out when the buffer is full."""
+        """Buffer one line, or leaves it out if the buffer is full."""
         if self._bytes + len(line) > self._limit:
             self.left_out += 1
             return
@@ -119,7 +121,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what standard output takes now; wait for the rest without blocking."""
+        """Write what the descriptor accepts now; the rest follows once it is writable."""
         while self._lines:
             line = self._lines[0]
             try:
@@ -155,8 +157,8 @@
             self._writing = False
 
 
-class _Allowance:
-    """A token bucket for one kind of line."""
+class _RateLimiter:
+    """Token bucket that limits the rate of one kind of line."""
 
     __slots__ = ("left_out", "tokens", "updated_at")
 
@@ -165,7 +167,7 @@
         self.updated_at = now
         self.left_out = 0
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         gained = (now - self.updated_at) * LINES_A_SECOND
         self.tokens = min(LINE_BURST, self.tokens + gained)
         self.updated_at = now
@@ -177,23 +179,23 @@
 
 
 class DecisionLog:
-    """Writes typed events with their inputs as JSON lines."""
+    """Writes events and their fields as JSON lines."""
 
     def __init__(self, output: BoundedOutput | None, process: str) -> None:
         self._output = output
         self._process = process
-        self._allowances: dict[LogEvent, _Allowance] = {}
+        self._rate_limiters: dict[LogEvent, _RateLimiter] = {}
         self._render = structlog.processors.JSONRenderer()
 
     def write(self, event: LogEvent, **fields: Any) -> None:
-        """Write one line unless its kind came too often."""
+        """Write one line, unless its kind exceeds the rate limit."""
         if self._output is None:
             return
         now = clock.now()
-        allowance = self._allowances.get(event)
-        if allowance is None:
-            allowance = self._allowances[event] = _Allowance(now)
-        if not allowance.take(now):
+        limiter = self._rate_limiters.get(event)
+        if limiter is None:
+            limiter = self._rate_limiters[event] = _RateLimiter(now)
+        if not limiter.try_take(now):
             return
         record: dict[str, Any] = {
             "event": event.value,
@@ -201,13 +203,13 @@
             "process": self._process,
             **fields,
         }
-        if allowance.left_out:
-            record["left_out"] = allowance.left_out
-            allowance.left_out = 0
+        if limiter.left_out:
+            record["left_out"] = limiter.left_out
+            limiter.left_out = 0
         line = self._render(None, "info", record)
         self._output.write((line if isinstance(line, bytes) else line.encode()) + b"\n")
 
     def flush(self) -> None:
-        """Write out what waits, as far as it can be taken at once."""
+        """Write as much of the buffer as the output accepts without blocking."""
         if self._output is not None:
             self._output.flush()
--- a/src/corkcrank/links/http_table.py
+++ b/src/corkcrank/links/http_table.py
@@ -1,4 +1,4 @@
-"""The platform's table over HTTP and JSON."""
+"""Client of the platform's transactional table, with JSON over HTTP."""
 
 from collections.abc import Sequence
 
@@ -20,11 +20,11 @@
 from corkcrank.links.traffic import ControlTraffic
 
 TABLE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for one answer of the table."""
+"""Timeout for one request to the table."""
 
 
 class HttpTable:
-    """A table client; every method answers within :data:`TABLE_TIMEOUT_SECONDS`."""
+    """Table client; every method returns within :data:`TABLE_TIMEOUT_SECONDS`."""
 
     def __init__(
         self, session: aiohttp.ClientSession, address: str, traffic: ControlTraffic
--- a/src/corkcrank/links/logs.py
+++ b/src/corkcrank/links/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, a short sentence with its part as prefix."""
+"""Structured logs: one JSON object a line, whose sentence is prefixed with the component."""
 
 import logging
 import sys
@@ -8,7 +8,7 @@
 
 
 def configure_logs(process: str) -> None:
-    """Send logs to standard error and bind the process name to each."""
+    """Send logs to standard error and adds the process name to each line."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -24,16 +24,16 @@
 
 
 class PartLog:
-    """The log of one part; every sentence starts with the part's name."""
+    """Log of one component; every sentence starts with the component's name."""
 
-    def __init__(self, part: str) -> None:
-        self._part = part
+    def __init__(self, component: str) -> None:
+        self._component = component
         self._logger = structlog.get_logger()
 
     def info(self, sentence: str, **fields: Any) -> None:
-        """Log a sentence that needs no action."""
-        self._logger.info(f"{self._part}: {sentence}", **fields)
+        """Log a sentence that requires no action."""
+        self._logger.info(f"{self._component}: {sentence}", **fields)
 
     def warning(self, sentence: str, **fields: Any) -> None:
         """Log a sentence that an operator may want to act on."""
-        self._logger.warning(f"{self._part}: {sentence}", **fields)
+        self._logger.warning(f"{self._component}: {sentence}", **fields)
--- a/src/corkcrank/links/peer.capnp
+++ b/src/corkcrank/links/peer.capnp
@@ -1,5 +1,5 @@
 @0xd6a2c1f0b3e49a57;
-# Messages between corkcrank's own processes. Packed encoding; one message a body.
+# Messages between corkcrank processes. Packed encoding; one message for each body.
 
 struct WorkerReport {
   worker  @0 :Text;
--- a/src/corkcrank/links/peer_client.py
+++ b/src/corkcrank/links/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls between the system's own processes: packed Cap'n Proto bodies over HTTP."""
+"""Client for calls between corkcrank processes: packed Cap'n Proto bodies over HTTP."""
 
 import aiohttp
 
@@ -14,11 +14,11 @@
 from corkcrank.zones.peer_messages import DigestReply, Heartbeat, HeartbeatReply
 
 PEER_SECONDS = 0.8
-"""Longest wait for a peer's answer."""
+"""Timeout for a request to a peer."""
 
 
 class PeerClient:
-    """Talks to peers; every method returns ``None`` when the peer gave no answer."""
+    """Sends requests to peers; each returns ``None`` if no valid answer arrives."""
 
     def __init__(self, traffic: ControlTraffic) -> None:
         self._traffic = traffic
@@ -49,15 +49,15 @@
             return None
 
     async def pull_digest(self, address: Address) -> bytes | None:
-        """Ask for the last digest, with its directory."""
+        """Request the latest digest, with its directory."""
         return await self._call("GET", address, "/peer/digest", b"")
 
     async def pull_summary(self, address: Address, known_directory: int) -> bytes | None:
-        """Ask a zone's holder for what other zones are told."""
+        """Request from a zone's holder the summary that it sends to other zones."""
         return await self._call("GET", address, f"/peer/summary/{known_directory}", b"")
 
     async def configuration(self, address: Address, version: int) -> Configuration | None:
-        """Ask for a configuration of at least ``version``."""
+        """Request a configuration of at least ``version``."""
         body = await self._call("GET", address, f"/peer/configuration/{version}", b"")
         try:
             return decode_configuration(body) if body else None
--- a/src/corkcrank/links/peer_codec.py
+++ b/src/corkcrank/links/peer_codec.py
@@ -1,4 +1,4 @@
-"""Packed Cap'n Proto encoding of the messages between the system's own processes."""
+"""Packed Cap'n Proto encoding of messages between corkcrank processes."""
 
 import functools
 from collections.abc import Callable
@@ -26,30 +26,30 @@
 _MessageT = TypeVar("_MessageT")
 
 MAXIMUM_COUNT = 65_535
-"""Largest value of a load counter on the wire."""
+"""Maximum value of a load counter on the wire."""
 
 CHECKSUM_BYTES = 8
 """Length of the checksum before each message."""
 
 TRAVERSAL_WORDS = 1 << 20
-"""Most words that decoding one message may touch."""
+"""Maximum number of words that decoding one message may traverse."""
 
 
 class PeerDecodeError(Exception):
-    """A peer's message cannot be read."""
+    """A peer's message that cannot be decoded."""
 
 
-def _seal(message: Any) -> bytes:
-    """Return a message's packed bytes behind their checksum."""
+def _encode_with_checksum(message: Any) -> bytes:
+    """Return a message's packed bytes, preceded by their checksum."""
     packed = bytes(message.to_bytes_packed())
     return xxhash.xxh3_64_digest(packed) + packed
 
 
-def _read(struct: Any, data: bytes) -> Any:
-    """Return the message in ``data``.
+def _decode_checked(struct: Any, data: bytes) -> Any:
+    """Return the message in ``data`` after verification of its checksum.
 
-    The checksum goes first: the unpacker of the library ends the whole process on some
-    damaged messages.
+    The checksum is verified first, because the unpacker of the library aborts the whole
+    process on some damaged messages.
     """
     checksum, packed = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
     if not packed or xxhash.xxh3_64_digest(packed) != checksum:
@@ -60,8 +60,10 @@
         raise PeerDecodeError(str(error)) from error
 
 
-def _typed_errors(decode: Callable[_ArgumentsT, _MessageT]) -> Callable[_ArgumentsT, _MessageT]:
-    """Turn the library's errors, which may come from any field, into typed ones."""
+def _raise_decode_errors(
+    decode: Callable[_ArgumentsT, _MessageT],
+) -> Callable[_ArgumentsT, _MessageT]:
+    """Convert library errors, which any field may raise, to :class:`PeerDecodeError`."""
 
     @functools.wraps(decode)
     def decode_or_raise(*arguments: _ArgumentsT.args, **named: _ArgumentsT.kwargs) -> _MessageT:
@@ -96,13 +98,13 @@
         target.slots = _clip(report.slots)
         target.models = list(report.models)
         target.fence = report.fence
-    return _seal(message)
+    return _encode_with_checksum(message)
 
 
-@_typed_errors
+@_raise_decode_errors
 def decode_heartbeat(data: bytes) -> Heartbeat:
     """Return the heartbeat in ``data``; raises :class:`PeerDecodeError`."""
-    message = _read(_SCHEMA.Heartbeat, data)
+    message = _decode_checked(_SCHEMA.Heartbeat, data)
     return Heartbeat(
         member=MemberId(message.member),
         role=message.role,
@@ -134,13 +136,13 @@
         intervalMs=round(reply.interval_seconds * 1000),
         holderAddress=reply.holder_address,
     )
-    return _seal(message)
+    return _encode_with_checksum(message)
 
 
-@_typed_errors
+@_raise_decode_errors
 def decode_heartbeat_reply(data: bytes) -> HeartbeatReply:
     """Return the reply in ``data``; raises :class:`PeerDecodeError`."""
-    message = _read(_SCHEMA.HeartbeatReply, data)
+    message = _decode_checked(_SCHEMA.HeartbeatReply, data)
     return HeartbeatReply(
         message.configurationVersion,
         message.holder,
@@ -156,18 +158,18 @@
         membershipHash=reply.membership_hash,
         configurationVersion=reply.configuration_version,
     )
-    return _seal(message)
+    return _encode_with_checksum(message)
 
 
-@_typed_errors
+@_raise_decode_errors
 def decode_digest_reply(data: bytes) -> DigestReply:
     """Return the reply in ``data``; raises :class:`PeerDecodeError`."""
-    message = _read(_SCHEMA.DigestReply, data)
+    message = _decode_checked(_SCHEMA.DigestReply, data)
     return DigestReply(message.directoryHash, message.membershipHash, message.configurationVersion)
 
 
 def encode_digest(digest: ZoneDigest, tables: KnownTables, enclosures: Enclosures) -> bytes:
-    """Return the packed form of a digest whose loads refer to the directory held."""
+    """Return the packed form of a digest; its loads refer to the directory in ``tables``."""
     message = _SCHEMA.ZoneDigest.new_message(
         zone=digest.zone,
         fence=digest.fence,
@@ -184,7 +186,7 @@
         _fill_directory(message.init("directory"), tables.directory)
     if enclosures.membership:
         _fill_membership(message.init("membership"), tables.membership)
-    return _seal(message)
+    return _encode_with_checksum(message)
 
 
 def _fill_loads(message: Any, digest: ZoneDigest, directory: Directory, names: list[str]) -> None:
@@ -223,14 +225,14 @@
         row.address = member.address
 
 
-@_typed_errors
+@_raise_decode_errors
 def decode_digest(data: bytes, tables: KnownTables) -> ZoneDigest:
-    """Return the digest in ``data``, read against the tables held so far.
+    """Return the digest in ``data``, decoded against the known tables.
 
-    Loads are left out when the digest refers to a directory that is neither enclosed nor
-    known; the reply's hash then asks the sender for it. Raises :class:`PeerDecodeError`.
+    Loads are omitted if the digest refers to a directory that is neither enclosed nor known;
+    the hash in the reply then requests it from the sender. Raises :class:`PeerDecodeError`.
     """
-    message = _read(_SCHEMA.ZoneDigest, data)
+    message = _decode_checked(_SCHEMA.ZoneDigest, data)
     enclosed = _decode_directory(message.directory) if message._has("directory") else None
     directory = enclosed
     if directory is None and message.directoryHash == tables.directory_hash:
@@ -258,7 +260,7 @@
             running=load.running,
             waiting=load.waiting,
             slots=load.slots,
-            models=_models_of(load.models, names),
+            models=_decode_models(load.models, names),
             leaving=load.leaving,
             boot=load.boot,
         )
@@ -267,7 +269,7 @@
     )
 
 
-def _models_of(mask: int, names: tuple[str, ...]) -> tuple[str, ...]:
+def _decode_models(mask: int, names: tuple[str, ...]) -> tuple[str, ...]:
     if not mask:
         return ()
     return tuple(name for number, name in enumerate(names) if mask >> number & 1)
--- a/src/corkcrank/links/platform_ports.py
+++ b/src/corkcrank/links/platform_ports.py
@@ -1,6 +1,6 @@
-"""What corkcrank needs of the platform it runs on, in its own terms.
+"""Interfaces through which corkcrank uses the platform it runs on.
 
-``corkcrank.platform`` implements these; nothing else knows the platform's names.
+``corkcrank.platform`` implements them; no other package contains the platform's names.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of a worker's answer tells.
+    """Fields from the head of a worker's answer.
 
-    ``sealed`` says that the answer carries a worker's signature, ``not_run`` that the
-    worker promises not to have run the request. ``load`` is running, waiting and slots.
+    ``sealed`` means that the answer carries a worker's signature, ``not_run`` that the worker
+    guarantees not to have run the request. ``load`` is running, waiting and slots.
     """
 
     call_id: str
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Something that cannot be read; ``reason`` is short, for logs."""
+    """A value that cannot be decoded; ``reason`` is a short text for logs."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerStatement:
-    """What a worker says of itself in the head of any answer.
+    """What a worker reports about itself in the head of any answer.
 
-    ``rate_limit`` is how many requests a second it takes from all gateways together, ``None``
-    where it names none. ``unknown_headers`` are names, in lower case, that nothing here knows.
+    ``rate_limit`` is the number of requests a second that it accepts from all gateways
+    together, ``None`` if not reported. ``unknown_headers`` are unrecognized names, in lower case.
     """
 
     rate_limit: float | Unreadable | None = None
@@ -55,7 +55,7 @@
 
 
 class PieceOutcome(StrEnum):
-    """How one piece of a stage ended."""
+    """Outcome of one piece of a stage."""
 
     DONE = "done"
     LATE = "late"
@@ -63,12 +63,12 @@
     NO_ROOM = "no-room"
     FAILED = "failed"
     BROKEN = "broken"
-    """The worker broke the call off that was to make it."""
+    """The worker closed the connection of the call that was to run the piece."""
     REFUSED = "refused"
 
 
 class PieceOrder(msgspec.Struct, frozen=True):
-    """One piece to be made: of call ``call_id``, for a stage, from a key or from inputs."""
+    """One piece to run, for a stage of call ``call_id``, from a key or from inputs."""
 
     call_id: str
     stage: int
@@ -79,7 +79,7 @@
 
 
 class PieceResult(msgspec.Struct, frozen=True):
-    """What became of a piece; ``handle`` names the result at its worker ``worker_id``."""
+    """Result of a piece; ``handle`` identifies it at the worker ``worker_id``."""
 
     outcome: PieceOutcome
     handle: str = ""
@@ -88,9 +88,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StageWorkerReport:
-    """What a stage worker tells of itself: ``free_bytes`` of room for results.
+    """What a stage worker reports about itself: ``free_bytes`` of result memory.
 
-    ``born`` is the Unix time of its start in milliseconds, where it is told.
+    ``born`` is the Unix time of its start in milliseconds, if reported.
     """
 
     free_bytes: float
@@ -98,17 +98,17 @@
 
 
 class StatementCodec(Protocol):
-    """Reads what workers say of themselves in their answers."""
+    """Decodes what workers report about themselves in their answers."""
 
     def read_statement(self, headers: Mapping[str, str]) -> WorkerStatement:
-        """Return what the head of an answer of any kind tells of its worker."""
+        """Return what the head of an answer of any kind reports about its worker."""
 
 
 class CallCodec(Protocol):
-    """Reads and writes the heads of calls."""
+    """Decodes and encodes the heads of calls."""
 
     def read_envelope(self, headers: Mapping[str, str]) -> CallEnvelope | str:
-        """Return what a caller's head tells, or what is wrong with it."""
+        """Return the fields of a caller's head, or what is wrong with it."""
 
     def worker_headers(
         self,
@@ -118,17 +118,17 @@
         inputs: Sequence[str] | None,
         resume_after: str,
     ) -> HeaderList:
-        """Return the head of the request that goes to a worker."""
+        """Return the head of the request to a worker."""
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerHead:
-        """Return what the head of a worker's answer tells."""
+        """Return the fields of the head of a worker's answer."""
 
     def answer_headers(self, headers: Sequence[tuple[str, str]]) -> HeaderList:
-        """Return the headers of a worker's answer that go back to the caller."""
+        """Return the headers of a worker's answer that are forwarded to the caller."""
 
 
 class StageCodec(Protocol):
-    """Reads and writes the calls that make and free results."""
+    """Encodes and decodes the calls that run pieces and free results."""
 
     run_path: str
     free_path: str
@@ -138,23 +138,23 @@
         """Return the headers of a call to a stage worker."""
 
     def encode_run(self, pieces: Sequence[PieceOrder]) -> bytes:
-        """Return the body that asks for pieces."""
+        """Return the body of a request to run pieces."""
 
     def decode_run(self, body: bytes, count: int) -> list[PieceResult] | None:
-        """Return the results in the order asked, or ``None`` for anything else."""
+        """Return the results in the order of the request, or ``None`` if malformed."""
 
     def encode_free(self, handles: Sequence[str]) -> bytes:
-        """Return the body that gives results up."""
+        """Return the body of a request to free results."""
 
     def decode_report(self, body: bytes) -> StageWorkerReport | Unreadable:
-        """Return what a stage worker reports, or why that cannot be read."""
+        """Return a stage worker's report, or why it cannot be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRow:
-    """One row of the platform's store; ``value`` is ``None`` where the row is gone.
+    """One row of the platform's store; ``value`` is ``None`` if the row was removed.
 
-    ``Unreadable`` stands for a value that is there and cannot be read.
+    ``Unreadable`` stands for a value that exists but cannot be decoded.
     """
 
     key: str
@@ -166,8 +166,8 @@
 class StoreRows:
     """Rows, or changes of rows, as of ``revision``.
 
-    ``store_time`` is the moment of the answer on the store's own steady clock, in seconds.
-    ``nameless`` tells what was wrong with rows whose key cannot be read.
+    ``store_time`` is the time of the answer on the store's monotonic clock, in seconds.
+    ``nameless`` lists the errors of rows whose key cannot be decoded.
     """
 
     rows: tuple[StoreRow, ...]
@@ -177,7 +177,7 @@
 
 
 class StoreTrouble(StrEnum):
-    """Why the store gave no rows."""
+    """Reason why the store returned no rows."""
 
     REFUSED = "refused"
     SILENT = "silent"
@@ -187,14 +187,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFailure:
-    """No rows; a write that was not answered may still take effect."""
+    """A failed store request; an unanswered write may still take effect."""
 
     trouble: StoreTrouble
     detail: str = ""
 
 
 class StoreTable(StrEnum):
-    """Tables that corkcrank reads or writes, by its own names for them."""
+    """Tables that corkcrank reads or writes; the values are corkcrank's names for them."""
 
     CONFIGURATION = "configuration"
     WORKERS = "workers"
@@ -203,44 +203,44 @@
 
 
 class MetadataStore(Protocol):
-    """The platform's store as corkcrank uses it; ``on_silence`` hears of dropped connections."""
+    """Operations of the platform's store; ``on_silence`` is called for dropped connections."""
 
     on_silence: SilenceListener
 
     def drop_all_idle(self) -> int:
-        """Use no idle connection again; return how many they were."""
+        """Close all idle connections; returns their number."""
 
     async def read(self, table: StoreTable) -> StoreRows | StoreFailure:
-        """Return all rows of a table as of one moment."""
+        """Return a consistent snapshot of all rows of a table."""
 
     async def watch(
         self, table: StoreTable, since: int, wait_seconds: float
     ) -> StoreRows | StoreFailure:
-        """Return what changed after revision ``since``, or nothing after the wait."""
+        """Return the changes after revision ``since``, or no rows if the wait expires."""
 
     async def put(self, table: StoreTable, key: str, value: bytes) -> int | StoreFailure:
-        """Write one row without condition; return its revision."""
+        """Write one row unconditionally; returns its revision."""
 
     async def remove(self, table: StoreTable, key: str) -> int | StoreFailure:
-        """Remove one row, if it is there; return the revision."""
+        """Remove one row if it exists; returns the revision."""
 
 
 class DocumentCodec(Protocol):
-    """Reads the documents that lie in the store."""
+    """Decodes the documents in the store."""
 
     def configuration(self, rows: Sequence[StoreRow]) -> OpaqueConfiguration | str | None:
-        """Return the configuration among rows; ``None`` if none is there, or what is wrong."""
+        """Return the configuration among rows, ``None`` if there is none, or what is wrong."""
 
     def zone_states(self, rows: Sequence[StoreRow]) -> tuple[ZoneState, ...]:
-        """Return the zones that are evacuated or taken back by rows, the last one of each."""
+        """Return the zones that rows evacuate or restore, with the last state of each."""
 
     def worker(self, row: StoreRow) -> WorkerRecord | Unreadable | None:
-        """Return the worker of a row, ``None`` where it is gone, or why it names none."""
+        """Return the worker of a row, ``None`` if it was removed, or why it is unreadable."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformPorts:
-    """Everything of the platform that a node uses."""
+    """All interfaces to the platform that a node uses."""
 
     calls: CallCodec
     statements: StatementCodec
--- a/src/corkcrank/links/silence.py
+++ b/src/corkcrank/links/silence.py
@@ -1,8 +1,8 @@
-"""Connections that were dropped since no byte came within a bound.
+"""Handles connections that were dropped because no byte arrived within a time limit.
 
-A connection may go silent for good, without an end or a reset, while new ones to the same
-peer work. Only a deadline shows it. Whoever keeps connections calls :func:`drop_idle` after
-a time-out, so that a pool full of silent connections costs one time-out, not one each.
+A connection may go silent permanently, without a FIN or a reset, while new ones to the same
+peer work. Only a deadline detects this. After a timeout, the user of a connection pool calls
+:func:`drop_idle`, so that a pool full of silent connections costs one timeout, not one each.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class ConnectionKind(StrEnum):
-    """What lies at the other end; a label of a metric."""
+    """Kind of the remote end; a label of a metric."""
 
     STORE = "store"
     PEER = "peer"
@@ -25,8 +25,8 @@
 class SilentConnection:
     """A connection that was dropped for silence, to ``peer``, an ``ip:port``.
 
-    ``waited`` is how long no byte came or was accepted, in seconds; ``idle_dropped`` counts
-    the idle connections to the same peer that were dropped with it.
+    ``waited`` is the time without a byte received or accepted, in seconds; ``idle_dropped`` is
+    the number of idle connections to the same peer that were closed with it.
     """
 
     kind: ConnectionKind
@@ -39,13 +39,13 @@
 
 
 def ignore_silence(connection: SilentConnection) -> None:
-    """Listen to nothing."""
+    """Ignores the dropped connection."""
 
 
 def drop_all_idle(session: aiohttp.ClientSession) -> int:
-    """Close every idle connection of a session; return how many they were.
+    """Close every idle connection of a session; returns their number.
 
-    After a suspension of the machine their other ends have closed them, or forgotten them.
+    Used after a suspension of the machine, when peers have closed or lost these connections.
     """
     connector = session.connector
     if connector is None or connector.closed:
@@ -55,10 +55,10 @@
 
 
 def drop_idle(session: aiohttp.ClientSession, address: str) -> int:
-    """Close the idle connections of a session to ``ip:port``; return how many they were.
+    """Close the idle connections of a session to ``ip:port``; returns their number.
 
-    When the silence of a busy one began is not known, so none that was proved before this
-    moment is trusted. Busy ones have deadlines of their own.
+    It is unknown when the silence of a busy connection began, so no idle connection is
+    trusted that was last used before now. Busy connections have their own deadlines.
     """
     connector = session.connector
     if connector is None or connector.closed:
--- a/src/corkcrank/links/table.py
+++ b/src/corkcrank/links/table.py
@@ -1,7 +1,7 @@
-"""The store interface to the platform's transactional table.
+"""Interface to the platform's transactional table.
 
-Rows are read together and written together under conditions on their revisions. An
-unanswered commit may have taken effect; the caller settles it by reading back.
+Rows are read in one transaction, and written in one transaction under conditions on their
+revisions. An unanswered commit may have taken effect; the caller finds out by a read.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as it stood; ``revision`` zero and no value mean that it is absent."""
+    """One row as read; revision zero and no value mean that it does not exist."""
 
     key: str
     revision: int
@@ -20,7 +20,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A row must still carry ``revision`` for a commit to take effect."""
+    """Requirement of a commit that a row still has ``revision``."""
 
     key: str
     revision: int
@@ -61,34 +61,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """A read that was answered."""
+    """Result of a read that was answered."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A commit that took effect; ``rows`` carry the new revisions."""
+    """Result of a commit that took effect; ``rows`` have the new revisions."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Conflicted:
-    """A commit that took no effect; ``rows`` are those whose condition failed."""
+    """Result of a commit that took no effect; ``rows`` are those whose condition failed."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """No answer: outage, rate limit, time-out or cut. A commit may have taken effect."""
+    """No answer: outage, rate limit, timeout or lost connection; a commit may have taken effect."""
 
     reason: str
 
 
 class Table(Protocol):
-    """What the system needs of the platform's table."""
+    """Operations of the platform's table that corkcrank uses."""
 
     async def read(self, keys: Sequence[str]) -> Rows | Unanswered:
         """Read rows in one transaction."""
--- a/src/corkcrank/links/traffic.py
+++ b/src/corkcrank/links/traffic.py
@@ -1,17 +1,17 @@
-"""Counts a daemon's control traffic: bodies, and an allowance for the heads around them."""
+"""Counts the bytes of a daemon's control traffic: bodies and an estimate for HTTP heads."""
 
 from dataclasses import dataclass
 
 HEAD_BYTES = 300
-"""Allowance for the two HTTP heads of one exchange; a benchmark measures that it is enough."""
+"""Upper estimate for the two HTTP heads of one exchange, verified by a benchmark."""
 
 UNUSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
-"""Headers that the client library would send and nobody reads."""
+"""Headers that the client library sends by default and no receiver reads."""
 
 
 @dataclass(slots=True)
 class ControlTraffic:
-    """What one daemon exchanged for control, sent and received."""
+    """Totals of one daemon's control exchanges, as client and as server."""
 
     exchanges: int = 0
     body_bytes: int = 0
@@ -23,5 +23,5 @@
 
     @property
     def total_bytes(self) -> int:
-        """Return bodies and heads."""
+        """Return the bytes of bodies and heads."""
         return self.body_bytes + HEAD_BYTES * self.exchanges
--- a/src/corkcrank/links/unreadable_documents.py
+++ b/src/corkcrank/links/unreadable_documents.py
@@ -1,4 +1,4 @@
-"""Documents about workers that cannot be read: who says so, and who listens."""
+"""Types that report documents about workers which cannot be decoded."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class DocumentKind(StrEnum):
-    """What kind of document it is."""
+    """Kind of an unreadable document."""
 
     ENTRY = "entry"
     REPORT = "report"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableDocument:
-    """One document; ``name`` is the entry's key or the reporting worker's id."""
+    """One unreadable document; ``name`` is the entry's key or the reporting worker's id."""
 
     kind: DocumentKind
     name: str
@@ -25,4 +25,4 @@
 
 
 def ignore_unreadable(document: UnreadableDocument) -> None:
-    """Do nothing."""
+    """Ignores the document."""
--- a/src/corkcrank/zones/__init__.py
+++ b/src/corkcrank/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Regions and zones."""
+"""State and messages of zones, the parts of a region."""
--- a/src/corkcrank/zones/digest.py
+++ b/src/corkcrank/zones/digest.py
@@ -1,8 +1,8 @@
-"""A zone's digest: the loads and members that one controller tells a whole zone.
+"""Digest of a zone: the loads and members that one controller sends to the whole zone.
 
-The directory (which back ends exist, and where) and the membership (which daemons live)
-change some hundred times a day and are each sent only to members that lack them; loads
-change every second and refer to the directory by index.
+The directory (back ends and their addresses) and the membership (live daemons) change some
+hundred times a day; each is sent only to members that lack it. Loads change every second and
+refer to the directory by index.
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 from corkcrank.contracts.messages import WorkerEntry
 
 RELAY_WIDTH = 2
-"""Members to which each member passes a digest on."""
+"""Number of members to which each member relays a digest."""
 
 
 class MemberEntry(msgspec.Struct, frozen=True, order=True):
@@ -39,9 +39,9 @@
 
 
 class WorkerLoad(msgspec.Struct, frozen=True):
-    """One worker's load as told to gateways.
+    """One worker's load as reported to gateways.
 
-    ``boot`` names the incarnation that is leaving; a load of one that stays names none.
+    ``boot`` identifies the incarnation that is leaving; it is empty for one that is not.
     """
 
     worker: WorkerId
@@ -54,9 +54,9 @@
 
 
 class ZoneDigest(msgspec.Struct, frozen=True):
-    """One second's news for one zone.
+    """State of one zone, sent every second.
 
-    ``directory`` and ``membership`` are absent when the receiver has them.
+    ``directory`` and ``membership`` are absent if the receiver has them.
     """
 
     zone: str
@@ -77,14 +77,14 @@
 
 
 def content_hash(content: Directory | Membership) -> int:
-    """Return a 64-bit content hash that names a directory or a membership."""
+    """Return a 64-bit content hash that identifies a directory or a membership."""
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(content))
 
 
 def relay_targets(
     members: Sequence[MemberEntry], position: int, width: int = RELAY_WIDTH
 ) -> tuple[int, ...]:
-    """Return the positions to which the member at ``position`` passes a digest on.
+    """Return the positions to which the member at ``position`` relays a digest.
 
     Position -1 is the holder, the root of the tree.
 
--- a/src/corkcrank/zones/peer_messages.py
+++ b/src/corkcrank/zones/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes; :mod:`corkcrank.links.peer_codec` encodes them."""
+"""Messages between corkcrank processes; :mod:`corkcrank.links.peer_codec` encodes them."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A daemon's sign of life to its zone's holder, with the workers it polled."""
+    """A daemon's heartbeat to its zone's holder, with reports of the workers it polled."""
 
     member: MemberId
     role: str
@@ -21,10 +21,10 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """The receiver's committed configuration version, and whether it holds the zone.
+    """The receiver's committed configuration version, and whether it is the zone's holder.
 
-    ``interval_seconds`` is the pace that the holder asks of this member. A receiver that
-    is not the holder names it in ``holder_address``, if it is of the same zone and knows.
+    ``interval_seconds`` is the heartbeat interval that the holder requests from this member. A
+    receiver of the same zone that is not the holder sets ``holder_address``, if known.
     """
 
     configuration_version: int
@@ -34,7 +34,7 @@
 
 
 class DigestReply(msgspec.Struct, frozen=True):
-    """What the receiver of a digest holds."""
+    """Hashes and version that the receiver of a digest has."""
 
     directory_hash: int
     membership_hash: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownTables:
-    """The directory and membership that one side holds, with their hashes."""
+    """Directory and membership that one side has, with their hashes."""
 
     directory: Directory = field(default_factory=Directory)
     directory_hash: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Enclosures:
-    """What a digest is sent with."""
+    """Tables that are enclosed in a digest."""
 
     directory: bool = False
     membership: bool = False
--- a/src/corkcrank/zones/poll_shares.py
+++ b/src/corkcrank/zones/poll_shares.py
@@ -1,8 +1,8 @@
-"""Which controller of a zone polls which worker.
+"""Distributes the polling of workers over the controllers of a zone.
 
-Every worker is polled once for all. Each controller finds its share from the member list
-alone, by rendezvous hashing; while lists differ a worker may be polled twice or, for one
-round, not at all, which only ages its report.
+One controller polls each worker for all others. Each controller computes its share from the
+member list alone, by rendezvous hashing. While lists differ, a worker may be polled twice or,
+for one round, not at all, which only delays its report.
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 
 class PollShares:
-    """One controller's share, worked out again only when members or workers change."""
+    """Cache of one controller's share, recomputed only if members or workers change."""
 
     def __init__(self, member: MemberId) -> None:
         self._member = member
--- a/src/corkcrank/zones/zone_state.py
+++ b/src/corkcrank/zones/zone_state.py
@@ -1,7 +1,7 @@
-"""What the holder of a zone keeps: members, reports, and the digest made of them.
+"""State of a zone at its holder: members, load reports, and the digest built from them.
 
-Nothing here is agreed or kept. A new holder starts empty and is whole again after one
-heartbeat of each member.
+The state is neither replicated nor stored. A new holder starts empty and has the complete
+state after one heartbeat of each member.
 """
 
 from collections.abc import Iterable
@@ -22,41 +22,41 @@
 from corkcrank.zones.peer_messages import Heartbeat, KnownTables
 
 REPORTING_ROLE = "controller"
-"""Role of the members whose heartbeats carry load reports."""
+"""Role of members whose heartbeats carry load reports."""
 
 SHORTEST_INTERVAL_SECONDS = 1.0
-"""Time between a member's heartbeats in a small zone."""
+"""Interval between a member's heartbeats in a small zone."""
 
 REPORTS_PER_SECOND = 15.0
-"""Most heartbeats with load reports a second that a holder asks its controllers for."""
+"""Maximum rate of heartbeats with load reports that a holder requests from controllers."""
 
 SIGNS_OF_LIFE_PER_SECOND = 5.0
-"""Most heartbeats a second that a holder asks its gateways for."""
+"""Maximum rate of heartbeats that a holder requests from its gateways."""
 
 MEMBER_INTERVALS = 3.5
-"""Heartbeats missed after which a member is no longer counted."""
+"""Heartbeat intervals without a heartbeat after which a member is removed."""
 
 REPORT_INTERVALS = 5.0
-"""Heartbeats missed after which the loads in the last one are no longer told."""
+"""Heartbeat intervals without a new report after which a load report is removed."""
 
 REMOTE_WORKERS_PER_SERVICE = 8
-"""Least loaded workers of another zone that are told for each service."""
+"""Maximum number of least loaded workers of another zone reported for each service."""
 
 
 @dataclass(slots=True)
 class _Member:
     entry: MemberEntry
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
 class _Report:
     report: LoadReport
-    heard_at: float
+    received_at: float
 
 
 class ZoneState:
-    """The news of one zone, gathered by its holder."""
+    """State of one zone, collected by its holder from heartbeats and other zones."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
@@ -68,70 +68,70 @@
         self._sequence = 0
 
     def heartbeat_interval(self, role: str) -> float:
-        """Return the seconds between a member's heartbeats that suit the zone's size."""
+        """Return the interval between a member's heartbeats for the zone's size, in seconds."""
         count = sum(member.entry.role == role for member in self._members.values())
         rate = REPORTS_PER_SECOND if role == REPORTING_ROLE else SIGNS_OF_LIFE_PER_SECOND
         return max(SHORTEST_INTERVAL_SECONDS, count / rate)
 
     def hear_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take a member's heartbeat and the reports in it."""
+        """Record a member's heartbeat and the load reports in it."""
         entry = MemberEntry(heartbeat.member, heartbeat.role, heartbeat.address)
         self._members[heartbeat.member] = _Member(entry, now)
         for report in heartbeat.reports:
             self._reports[report.worker] = _Report(report, now)
 
     def hear_list(self, machine_list: MachineList) -> None:
-        """Take the platform's list unless it is older than the one known."""
+        """Replace the machine list unless the given one is older."""
         if machine_list.version >= self.machine_list.version:
             self.machine_list = machine_list
 
     def hear_remote(self, digest: ZoneDigest) -> None:
-        """Take another zone's digest unless it is older than the one known."""
+        """Replace the digest of another zone unless the given one is older."""
         known = self._remote.get(digest.zone)
         if known is None or digest.order_key > known.order_key:
             self._remote[digest.zone] = digest
 
     def forget_silent(self, now: float) -> None:
-        """Drop members and reports that have grown old, and remake the tables."""
+        """Remove expired members and reports, and rebuilds the tables."""
         intervals = {role: self.heartbeat_interval(role) for role in (REPORTING_ROLE, "gateway")}
         self._members = {
             name: member
             for name, member in self._members.items()
-            if now - member.heard_at <= MEMBER_INTERVALS * intervals[member.entry.role]
+            if now - member.received_at <= MEMBER_INTERVALS * intervals[member.entry.role]
         }
         self._reports = {
             worker: report
             for worker, report in self._reports.items()
-            if now - report.heard_at <= REPORT_INTERVALS * intervals[REPORTING_ROLE]
+            if now - report.received_at <= REPORT_INTERVALS * intervals[REPORTING_ROLE]
         }
-        self._remake_tables()
+        self._rebuild_tables()
 
     def reports(self) -> tuple[LoadReport, ...]:
-        """Return the reports held, newest of each worker."""
-        return tuple(held.report for held in self._reports.values())
+        """Return the latest report of each worker."""
+        return tuple(received.report for received in self._reports.values())
 
     def members(self) -> tuple[MemberEntry, ...]:
         """Return the live members in the order of the relay tree."""
         return tuple(sorted(member.entry for member in self._members.values()))
 
     def workers_of_zone(self) -> tuple[WorkerEntry, ...]:
-        """Return the zone's own workers."""
+        """Return the workers of this zone."""
         return tuple(row for row in self.machine_list.workers if row.zone == self.zone)
 
     def make_digest(self, fence: int, configuration_version: int) -> ZoneDigest:
         """Return the next digest for the members of the zone."""
         self._sequence += 1
-        own = self._own_loads()
+        local = self._local_loads()
         remote = [load for digest in self._remote.values() for load in digest.loads]
-        gateways = self._own_gateways() + sum(item.gateways for item in self._remote.values())
-        loads = self._with_listed_leaving((*own, *remote))
+        gateways = self._local_gateways() + sum(item.gateways for item in self._remote.values())
+        loads = self._with_listed_leaving((*local, *remote))
         return self._digest(fence, configuration_version, loads, gateways)
 
     def make_summary(self, fence: int, configuration_version: int) -> ZoneDigest:
-        """Return what other zones are told: a few least loaded workers of each service."""
+        """Return the digest for other zones: a few least loaded workers of each service."""
         services = {row.worker: row.service for row in self.machine_list.workers}
-        chosen = least_loaded_by_service(self._own_loads(), services)
-        return self._digest(fence, configuration_version, chosen, self._own_gateways())
+        chosen = least_loaded_by_service(self._local_loads(), services)
+        return self._digest(fence, configuration_version, chosen, self._local_gateways())
 
     def validate(self) -> None:
         """Check the invariants that hold between calls."""
@@ -152,10 +152,10 @@
             loads=loads,
         )
 
-    def _own_gateways(self) -> int:
+    def _local_gateways(self) -> int:
         return sum(member.entry.role == "gateway" for member in self._members.values())
 
-    def _own_loads(self) -> tuple[WorkerLoad, ...]:
+    def _local_loads(self) -> tuple[WorkerLoad, ...]:
         return tuple(
             WorkerLoad(
                 worker=report.worker,
@@ -170,7 +170,7 @@
         )
 
     def _current_directory(self) -> Directory:
-        # Leaving is told with the loads, so that it costs no new directory.
+        # The loads report that a worker is leaving, so that this needs no new directory.
         workers = tuple(
             msgspec.structs.replace(row, leaving=False) if row.leaving else row
             for row in self.machine_list.workers
@@ -187,11 +187,11 @@
                 by_worker[row.worker] = msgspec.structs.replace(known, leaving=True, boot=row.boot)
         return tuple(by_worker.values())
 
-    def _remake_tables(self) -> None:
-        held = self.tables
+    def _rebuild_tables(self) -> None:
+        current = self.tables
         directory = self._current_directory()
         membership = Membership(self.members())
-        if directory == held.directory and membership == held.membership:
+        if directory == current.directory and membership == current.membership:
             return
         self.tables = KnownTables(
             directory, content_hash(directory), membership, content_hash(membership)
--- a/tests/core/test_control_traffic.py
+++ b/tests/core/test_control_traffic.py
@@ -1,4 +1,4 @@
-"""The allowance for HTTP heads in the count of control traffic is enough."""
+"""The estimate for HTTP heads in the count of control traffic is an upper bound."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class CountingLink(CuttableLink):
-    """Counts the bytes that go over a link, both ways."""
+    """Link that counts the bytes of both directions."""
 
     total = 0
 
@@ -29,9 +29,9 @@
         writer.close()
 
 
-async def test_counted_bytes_cover_what_goes_over_the_wire() -> None:
+async def test_counted_bytes_cover_the_bytes_on_the_wire() -> None:
     ports = PortSource()
-    address, between = ports.address(), ports.address()
+    address, link_address = ports.address(), ports.address()
     ports.release()
 
     async def answer(request: web.Request) -> web.Response:
@@ -42,13 +42,13 @@
     application = web.Application()
     application.add_routes([web.post("/peer/heartbeat", answer)])
     runner = await serve_application(application, address)
-    link = CountingLink(between, address)
+    link = CountingLink(link_address, address)
     await link.start()
     traffic = ControlTraffic()
     peers = PeerClient(traffic)
     heartbeat = Heartbeat(MemberId("gateway-1"), "gateway", "zone", Address("10.0.0.1:9000"), 7)
     for _ in range(ROUNDS):
-        assert await peers.heartbeat(between, heartbeat) is not None
+        assert await peers.heartbeat(link_address, heartbeat) is not None
     await peers.close()
     await link.stop()
     await runner.cleanup()
--- a/tests/core/test_datagrams.py
+++ b/tests/core/test_datagrams.py
@@ -1,4 +1,4 @@
-"""A message to many members must pass a link that holds only a few datagrams at once."""
+"""A message to many members must not be dropped by a link with a short queue."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from corkcrank.links.datagrams import GROUP_MEMBERS, send_spread
 
 
-class NarrowLink:
-    """Drops what is sent while its queue is full; the queue empties between loop turns."""
+class ShortQueueLink:
+    """Link that drops datagrams while its queue is full; each event loop iteration empties it."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -25,20 +25,22 @@
 
 
 @pytest.mark.parametrize("members", [0, 1, 8, 9, 74, 350])
-async def test_everybody_is_told_over_a_link_with_a_short_queue(members: int) -> None:
-    link = NarrowLink(GROUP_MEMBERS)
+async def test_every_member_receives_the_message_over_a_link_with_a_short_queue(
+    members: int,
+) -> None:
+    link = ShortQueueLink(GROUP_MEMBERS)
     addresses = [f"10.0.0.{number}:1" for number in range(members)]
     await send_spread(link, lambda: b"news", addresses, 0.05)
     assert set(link.delivered) == set(addresses)
 
 
-async def test_later_groups_are_told_what_is_new_by_then() -> None:
-    link = NarrowLink(GROUP_MEMBERS)
-    made: list[int] = []
+async def test_each_group_receives_the_message_current_at_its_time() -> None:
+    link = ShortQueueLink(GROUP_MEMBERS)
+    built: list[int] = []
 
     def message() -> bytes:
-        made.append(len(made))
-        return str(made[-1]).encode()
+        built.append(len(built))
+        return str(built[-1]).encode()
 
     await send_spread(link, message, [str(number) for number in range(3 * GROUP_MEMBERS)], 0.02)
     assert set(link.delivered.values()) == {b"0", b"1", b"2"}
--- a/tests/core/test_decision_log.py
+++ b/tests/core/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The log of decisions: structured, bounded, never blocking; and what is told from it."""
+"""The decision log is structured, bounded and never blocks; ``explain`` reads it."""
 
 import json
 import os
@@ -19,7 +19,7 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_each_line_tells_event_process_time_and_fields() -> None:
+def test_each_line_has_event_process_time_and_fields() -> None:
     reader, writer = os.pipe()
     DecisionLog(BoundedOutput(writer), "node-1").write(LogEvent.READY, version=3)
     (line,) = lines_of(reader)
@@ -28,7 +28,7 @@
     assert isinstance(line["time"], float)
 
 
-def test_output_that_nobody_reads_blocks_nothing_and_is_bounded() -> None:
+def test_unread_output_does_not_block_and_is_bounded() -> None:
     reader, writer = os.pipe()
     output = BoundedOutput(writer, limit=10_000)
     log = DecisionLog(output, "node-1")
@@ -39,7 +39,7 @@
     assert len(lines_of(reader)) * 100 < 5_000 * 100
 
 
-def test_one_kind_that_comes_too_often_is_counted_and_left_out() -> None:
+def test_lines_of_one_kind_above_the_rate_limit_are_left_out() -> None:
     reader, writer = os.pipe()
     output = BoundedOutput(writer, limit=10_000_000)
     log = DecisionLog(output, "node-1")
@@ -51,7 +51,7 @@
     assert LogEvent.READY.value in events
 
 
-def test_story_of_a_call_is_told_across_machines_in_order(tmp_path: Path) -> None:
+def test_lines_of_a_call_from_several_machines_are_shown_in_order(tmp_path: Path) -> None:
     first, second = tmp_path / "a.log", tmp_path / "b.log"
     first.write_text(
         '{"event": "Call: ended.", "time": 12.5, "process": "a", "call": "c1", "outcome": "200"}\n'
--- a/tests/core/test_peer_codec.py
+++ b/tests/core/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Peer messages: what is encoded comes back, and damaged bytes give a typed error."""
+"""Peer messages survive encoding and decoding, and damaged bytes raise a typed error."""
 
 import contextlib
 
@@ -51,7 +51,7 @@
 
 
 @given(heartbeat=HEARTBEATS)
-def test_heartbeats_come_back(heartbeat: Heartbeat) -> None:
+def test_heartbeats_round_trip(heartbeat: Heartbeat) -> None:
     assert decode_heartbeat(encode_heartbeat(heartbeat)) == heartbeat
 
 
@@ -65,7 +65,7 @@
 
 
 @given(count=st.integers(0, 20), data=st.data(), enclosed=st.booleans())
-def test_digests_come_back(count: int, data: st.DataObject, enclosed: bool) -> None:
+def test_digests_round_trip(count: int, data: st.DataObject, enclosed: bool) -> None:
     known = tables(count)
     loads = tuple(
         WorkerLoad(
--- a/tests/core/test_restarted_back_ends.py
+++ b/tests/core/test_restarted_back_ends.py
@@ -1,9 +1,9 @@
-"""A back end that starts again is used again, whatever was last told of the one before.
+"""A restarted back end is used again, whatever its previous incarnation last reported.
 
-A rolling restart of engines stood still: one that the list showed as started again got no call for
-10 s. Its zone's holder still had the report of the incarnation before, which said that it was
-leaving; it went out beside the new list, and a gateway that has seen a back end leave takes that
-back for a new incarnation only. So the new one was shut out until it would start once more.
+Guards against a stalled rolling restart: an engine that the list showed as restarted got no call
+for 10 s. The zone's holder still had the report of the previous incarnation, which was leaving,
+and sent it beside the new list. A gateway treats leaving as final for an incarnation, so the new
+incarnation got no call until its next restart.
 """
 
 import pytest
@@ -20,7 +20,7 @@
 
 
 class Zones:
-    """Holders of two zones, the back end in the first, and a gateway in one of them."""
+    """Holders of two zones, with the back end in the first and a gateway in one of them."""
 
     def __init__(self, gateway_zone: str) -> None:
         self.holders = {zone: ZoneState(zone) for zone in ZONES}
@@ -29,25 +29,25 @@
         self._version = 0
 
     def list_worker(self, boot: str, *, leaving: bool = False) -> None:
-        """Have both holders read a new list."""
+        """Apply a new list at both holders."""
         self._version += 1
         entry = WorkerEntry(WORKER, "llm", ZONES[0], "1.1.1.1:1", boot, leaving)
         for holder in self.holders.values():
             holder.hear_list(MachineList(self._version, (entry,)))
 
     def report(self, boot: str, *, leaving: bool) -> None:
-        """Have the first holder hear what the back end says of itself."""
+        """Apply a load report of the back end at the first holder."""
         report = LoadReport(WORKER, leaving, 0, 0, 8, boot)
         member = MemberId("controller")
         heartbeat = Heartbeat(member, "controller", ZONES[0], Address("1.1.1.1:2"), 1, (report,))
         self.holders[ZONES[0]].hear_heartbeat(heartbeat, 0.0)
 
-    def tell_zones(self) -> None:
-        """Have the second holder hear the first one's summary."""
+    def send_summary(self) -> None:
+        """Apply the first holder's summary at the second holder."""
         self.holders[ZONES[1]].hear_remote(self.holders[ZONES[0]].make_summary(1, 1))
 
-    def tell_gateway(self) -> None:
-        """Have the gateway hear its holder's digest, as it goes over the wire."""
+    def send_digest(self) -> None:
+        """Apply its holder's digest, as encoded on the wire, at the gateway."""
         holder = self.holders[self._gateway_zone]
         holder.forget_silent(0.0)
         encoded = encode_digest(holder.make_digest(1, 1), holder.tables, Enclosures(directory=True))
@@ -56,48 +56,48 @@
         self.view.apply_directory(digest.directory)
         self.view.apply_loads(digest.loads, 0.0)
 
-    def used(self) -> bool:
+    def is_used(self) -> bool:
         return bool(self.view.candidates("llm", 0.0))
 
 
 @pytest.mark.parametrize("gateway_zone", ZONES)
-def test_the_last_report_before_a_restart_does_not_shut_out_the_next_incarnation(
+def test_the_last_report_before_a_restart_does_not_exclude_the_next_incarnation(
     gateway_zone: str,
 ) -> None:
     zones = Zones(gateway_zone)
     zones.list_worker("1", leaving=True)
     zones.report("1", leaving=True)
-    zones.tell_zones()
-    zones.tell_gateway()
-    assert not zones.used()
+    zones.send_summary()
+    zones.send_digest()
+    assert not zones.is_used()
     zones.list_worker("2")
-    zones.tell_gateway()
+    zones.send_digest()
     zones.report("2", leaving=False)
-    zones.tell_zones()
-    zones.tell_gateway()
-    assert zones.used()
+    zones.send_summary()
+    zones.send_digest()
+    assert zones.is_used()
 
 
 @pytest.mark.parametrize("gateway_zone", ZONES)
 @pytest.mark.parametrize("boot", ["2", ""])
-def test_an_incarnation_that_says_it_leaves_gets_no_call(gateway_zone: str, boot: str) -> None:
+def test_an_incarnation_that_reports_leaving_gets_no_call(gateway_zone: str, boot: str) -> None:
     zones = Zones(gateway_zone)
     zones.list_worker("2")
     zones.report(boot, leaving=True)
-    zones.tell_zones()
-    zones.tell_gateway()
-    assert not zones.used()
+    zones.send_summary()
+    zones.send_digest()
+    assert not zones.is_used()
     zones.report("2", leaving=False)
-    zones.tell_zones()
-    zones.tell_gateway()
-    assert not zones.used(), "leaving is final"
+    zones.send_summary()
+    zones.send_digest()
+    assert not zones.is_used(), "leaving is final"
 
 
 @pytest.mark.parametrize("gateway_zone", ZONES)
-def test_an_incarnation_that_the_list_shows_leaving_gets_no_call(gateway_zone: str) -> None:
+def test_an_incarnation_listed_as_leaving_gets_no_call(gateway_zone: str) -> None:
     zones = Zones(gateway_zone)
     zones.report("1", leaving=True)
     zones.list_worker("2", leaving=True)
-    zones.tell_zones()
-    zones.tell_gateway()
-    assert not zones.used()
+    zones.send_summary()
+    zones.send_digest()
+    assert not zones.is_used()
--- a/tests/platform/silent_link.py
+++ b/tests/platform/silent_link.py
@@ -1,4 +1,4 @@
-"""A TCP link whose open connections can go silent for good, while new ones pass bytes."""
+"""TCP proxy whose open connections can go silent permanently, while new ones work."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,10 @@
 
 @dataclass(eq=False)
 class _Connection:
-    """The two ends of one connection; ``lost`` counts bytes that were swallowed."""
+    """The two ends of one connection; ``lost`` counts discarded bytes."""
 
-    near: asyncio.StreamWriter
-    far: asyncio.StreamWriter
+    client_side: asyncio.StreamWriter
+    target_side: asyncio.StreamWriter
     silent_to_target: bool = False
     silent_from_target: bool = False
     lost: int = 0
@@ -24,9 +24,9 @@
 
 @dataclass(eq=False)
 class SilentLink:
-    """Forwards connections to ``target``; what a silent one is sent is accepted and lost.
+    """Forwards connections to ``target``; bytes sent on a silent one are accepted and discarded.
 
-    A silent direction loses the end of the connection too.
+    A silent direction does not forward the close of the connection either.
     """
 
     target: str = ""
@@ -45,7 +45,7 @@
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """Stop listening and close every connection."""
+        """Stop listening and closes every connection."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -59,11 +59,11 @@
 
     @property
     def used_when_silent(self) -> int:
-        """Return how many connections were sent something after they had gone silent."""
+        """Return how many connections were sent data after they had gone silent."""
         return sum(connection.lost > 0 for connection in self._silenced)
 
     def silence(self, *, to_target: bool = True, from_target: bool = True) -> None:
-        """Have the connections that are open go silent for good, in one direction or both."""
+        """Make all open connections permanently silent, in one direction or both."""
         for connection in self._connections:
             connection.silent_to_target = connection.silent_to_target or to_target
             connection.silent_from_target = connection.silent_from_target or from_target
@@ -92,7 +92,7 @@
             await self._pump(connection, reader, to_target=True)
             self._connections.discard(connection)
             if connection.silent_to_target:
-                # The target does not hear of the end, so its side stays open.
+                # The close is not forwarded to the target, so its side stays open.
                 await asyncio.Event().wait()
         finally:
             self._connections.discard(connection)
@@ -103,7 +103,7 @@
     async def _pump(
         self, connection: _Connection, reader: asyncio.StreamReader, *, to_target: bool
     ) -> None:
-        writer = connection.far if to_target else connection.near
+        writer = connection.target_side if to_target else connection.client_side
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if connection.silent_to_target if to_target else connection.silent_from_target:
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -1,10 +1,10 @@
-"""Open connections that go silent for good, without a reset, while new ones work.
+"""Open connections that go silent permanently, without a reset, while new ones work.
 
-On the platform's machines the connections of all processes may go silent at one moment.
-Before, a pool handed one silent connection after the other to the next calls, each for a
-whole time-out, and a question to a peer had no time-out at all: a gateway that pulled the
-configuration through one never pulled again, and pieces on one waited until their caller
-left, since the owner's datagrams went on.
+On the platform's machines the connections of all processes may go silent at the same time.
+Guards against two failures: a pool gave one silent connection after another to the next calls,
+each for a whole timeout; and requests to a peer had no timeout. A gateway that pulled the
+configuration through a silent connection never pulled again, and pieces on one waited until
+their caller disconnected, since the owner's datagrams still arrived.
 """
 
 import asyncio
@@ -50,11 +50,11 @@
     "directions", [BOTH, TO_TARGET, FROM_TARGET], ids=["both ways", "to target", "from target"]
 )
 KEPT = 5
-"""Connections that a pool holds when they go silent."""
+"""Number of idle connections in a pool when they go silent."""
 
 STORE_TIMEOUT = 0.3
 LONGEST_SECONDS = 9.0
-"""A call is longer under way only if nothing bounds it: its route's time-out is less."""
+"""Longer than the timeout of a route: a call takes longer only if nothing limits it."""
 
 PEER_SILENCE_SECONDS = 1.6
 SLACK_SECONDS = 0.6
@@ -89,7 +89,7 @@
 
 
 @DIRECTIONS
-async def test_silence_of_the_store_costs_one_time_out(directions: dict[str, bool]) -> None:
+async def test_silence_of_the_store_costs_one_timeout(directions: dict[str, bool]) -> None:
     async with linked_store() as (store, link):
         await asyncio.gather(*(store.read(StoreTable.WORKERS) for _ in range(KEPT)))
         assert link.open == KEPT
@@ -103,7 +103,7 @@
 
 
 @DIRECTIONS
-async def test_long_poll_has_a_deadline_of_its_own(directions: dict[str, bool]) -> None:
+async def test_long_poll_has_its_own_deadline(directions: dict[str, bool]) -> None:
     async with linked_store() as (store, link):
         await store.read(StoreTable.WORKERS)
         link.silence(**directions)
@@ -113,7 +113,7 @@
 
 
 @DIRECTIONS
-async def test_configuration_is_in_force_in_time_after_the_store_fell_silent(
+async def test_configuration_is_applied_in_time_after_the_store_went_silent(
     directions: dict[str, bool],
 ) -> None:
     links = WorldLinks(store=SilentLink())
@@ -157,7 +157,7 @@
 
 
 @DIRECTIONS
-async def test_silence_of_a_worker_costs_one_time_out(directions: dict[str, bool]) -> None:
+async def test_silence_of_a_worker_costs_one_timeout(directions: dict[str, bool]) -> None:
     async with linked_worker(answer_ok) as (client, link):
         await asyncio.gather(*(ask_worker(client, link.address) for _ in range(KEPT)))
         assert link.open == KEPT
@@ -176,7 +176,7 @@
     return response
 
 
-def nothing_heard() -> WorkerStatements:
+def empty_statements() -> WorkerStatements:
     return WorkerStatements(PlatformStatementCodec(), DecisionLog(None, "test"), NodeMetrics())
 
 
@@ -185,11 +185,11 @@
 
 
 @pytest.mark.parametrize("what", ["free", "report"])
-async def test_a_body_that_falls_silent_does_not_hold_the_room_of_a_worker(what: str) -> None:
-    # The head came, the body never did: the wait had no end, and no result of that worker
-    # was given up any more, nor was it asked for its room.
+async def test_a_body_that_goes_silent_does_not_block_the_room_of_a_worker(what: str) -> None:
+    # The head arrived, the body never did. The client waited forever: it freed no further
+    # result of that worker and did not poll the worker for its room again.
     async with linked_worker(answer_head_only) as (client, link):
-        caller = StageWorkerClient(PlatformStageCodec(), client, nothing_heard())
+        caller = StageWorkerClient(PlatformStageCodec(), client, empty_statements())
         worker = stage_worker(link.address)
         work = caller.free(worker, ["handle"]) if what == "free" else caller.report(worker)
         limit = CALL_TIME_MARGIN if what == "free" else REPORT_SECONDS
@@ -198,8 +198,8 @@
 
 
 @DIRECTIONS
-async def test_a_repeatable_call_goes_on_elsewhere(directions: dict[str, bool]) -> None:
-    silent, sound = StandinWorker(), StandinWorker()
+async def test_a_repeatable_call_is_retried_at_another_worker(directions: dict[str, bool]) -> None:
+    silent, healthy = StandinWorker(), StandinWorker()
     links = WorldLinks(workers={"silent": SilentLink()})
     served = {"silent": (silent, "plain")}
     async with world(configuration(1, [route("safe", "safe", "plain")]), served, links) as running:
@@ -209,19 +209,19 @@
         hold.set()
         assert [(await call).status for call in calls] == [200] * KEPT
         links.workers["silent"].silence(**directions)
-        await sound.server.start()
-        running.store.put("servers", sound.worker_id, sound.entry("plain"))
+        await healthy.server.start()
+        running.store.put("servers", healthy.worker_id, healthy.entry("plain"))
         await until(lambda: len(running.nodes[0].mirror.workers.usable("plain")) == 2)
         responses = [await running.call("/safe/x", method="GET") for _ in range(KEPT)]
         assert [response.status for response in responses] == [200] * KEPT
         assert links.workers["silent"].used_when_silent <= 1
         assert silences(running, "worker") == links.workers["silent"].used_when_silent
-        await sound.server.stop()
+        await healthy.server.stop()
 
 
 @DIRECTIONS
 async def test_an_unrepeatable_stream_is_never_sent_twice(directions: dict[str, bool]) -> None:
-    # Streams go out on kept connections. What a silent one swallowed may have run.
+    # Streams use kept-alive connections. A request sent on a silent one may have run.
     engine = StandinWorker(events=2)
     links = WorldLinks(workers={"engine": SilentLink()})
     once = route("once", "stream", "model", timeout_ms=900, max_attempts=3)
@@ -239,7 +239,7 @@
         await response.read()
 
 
-async def test_a_stream_that_falls_silent_midway_is_taken_up_elsewhere() -> None:
+async def test_a_stream_that_goes_silent_midway_resumes_at_another_worker() -> None:
     one, two = StandinWorker(events=6, gap=0.1), StandinWorker(events=6, gap=0.1)
     links = WorldLinks(workers={"one": SilentLink(), "two": SilentLink()})
     talk = route("talk", "stream", "model", stream_resume=True, target_gap_ms=200)
