--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -84,7 +84,7 @@
             configuration_version=self._agent.view.adoption.announced_version,
             holder=self.publishes,
             interval_seconds=self.state.heartbeat_interval(heartbeat.role),
-            holder_address=self._agent.holder_for(heartbeat.zone),
+            holder_address=self._agent.holder_address_for_zone(heartbeat.zone),
         )
 
     def known_holders(self) -> tuple[ZoneLease, ...]:
@@ -210,7 +210,7 @@
         version = self._agent.view.adoption.announced_version
         digest = self.state.make_digest(self.lease.fence, version)
         self.last_digest_at = now
-        self._agent.publish(digest, self.state.tables)
+        self._agent.publish_digest(digest, self.state.tables)
 
     async def _send_orders(self) -> None:
         index = self._agent.view.adoption.index
--- a/src/corkcrank/gateway/dispatch.py
+++ b/src/corkcrank/gateway/dispatch.py
@@ -59,8 +59,8 @@
     def sending(self, worker: WorkerId) -> Iterator[Address]:
         """Count a call to ``worker`` while it is in flight, and give its address."""
         started = self._clock()
-        self.view.call_started(worker, started)
+        self.view.record_call_start(worker, started)
         try:
             yield self.view.address(worker) or UNKNOWN_ADDRESS
         finally:
-            self.view.call_ended(worker, started)
+            self.view.record_call_end(worker, started)
--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -11,39 +11,39 @@
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.machines.fleet_view import FleetView
 from corkcrank.machines.heartbeat import Heartbeat, Phase
-from corkcrank.machines.members import FORGET_SECONDS, Member
+from corkcrank.machines.members import REMOVE_AFTER_SECONDS, Member
 from corkcrank.machines.store_contact import StoreContact, newer_contact
 
 HEARTBEAT_SECONDS = 0.25
 """Interval between heartbeats in a small fleet."""
 
-HEARTBEAT_BYTES_A_SECOND = 25_000.0
+MAX_HEARTBEAT_BYTES_PER_SECOND = 25_000.0
 """Most bytes of heartbeats that one member sends. In larger fleets the interval is longer. The
 calls that older reports would cost are worth more than the bytes."""
 
-FULL_RATE_MEMBERS = 100
+MAX_FULL_RATE_MEMBERS = 100
 """Fleet size up to which each member sends the full rate. In a larger fleet each sends less, so
 that the bytes a node reads and sends do not grow with the fleet."""
 
-OWNER_BYTES_A_SECOND = 60_000.0
+MAX_OWNER_BYTES_PER_SECOND = 60_000.0
 """Most bytes of heartbeats sent by a member that owns queues or engines of its zone. Other members
 decide by the owners' reports, and owners are few. A fortieth of a link of 20 Mbit/s."""
 
-FIRST_HEARTBEAT_BYTES = 250.0
+INITIAL_HEARTBEAT_BYTES = 250.0
 """Heartbeat length that is assumed before the first one is sent."""
 
-LENGTH_WEIGHT = 0.05
+HEARTBEAT_LENGTH_WEIGHT = 0.05
 """Weight of the newest heartbeat in the moving average of lengths."""
 
-RUN_NOTE_SECONDS = 0.1
+RUN_RECORD_SECONDS = 0.1
 """Interval at which this process records that it is running. Less than half a heartbeat's
 interval, so that a slightly late record does not count as a pause."""
 
-PAUSE_SECONDS = HEARTBEAT_SECONDS
+MIN_PROCESS_PAUSE_SECONDS = HEARTBEAT_SECONDS
 """A longer time without such a record is a pause of this process. A pause counts as one missed
 heartbeat of each member, so that a process that pauses repeatedly still suspects a dead member."""
 
-SMALLEST_FLEET = 4
+MIN_FLEET_MEMBERS = 4
 """Fleet size assumed for shares while fewer members are known, e.g. right after a start."""
 
 _NEVER = float("-inf")
@@ -57,42 +57,42 @@
     """
 
     def __init__(
-        self, own_name: str, own_zone: str, own_address: str, own_strength: float = 0.0
+        self, local_name: str, local_zone: str, local_address: str, local_strength: float = 0.0
     ) -> None:
-        self.own_name = own_name
-        self.own_strength = own_strength
-        self.own_zone = own_zone
-        self.own_address = own_address
-        self.owns = False
-        self._own_phase = Phase.STARTING
+        self.local_name = local_name
+        self.local_strength = local_strength
+        self.local_zone = local_zone
+        self.local_address = local_address
+        self.is_owner = False
+        self._local_phase = Phase.STARTING
         self._members: dict[str, Member] = {}
         self._pending_addresses: dict[str, float] = {}
-        self._heartbeat_bytes = FIRST_HEARTBEAT_BYTES
+        self._heartbeat_bytes = INITIAL_HEARTBEAT_BYTES
         self._store_contacts: dict[StoreTable, StoreContact] = {}
-        self._view = FleetView(until=_NEVER)
+        self._view = FleetView(valid_until=_NEVER)
         self._highest_version = 0
         self._highest_revision = 0
         self._last_ran_at: float | None = None
         self._pause_seconds = 0.0
 
     @property
-    def own_phase(self) -> Phase:
+    def local_phase(self) -> Phase:
         """Return the phase of this member."""
-        return self._own_phase
+        return self._local_phase
 
-    @own_phase.setter
-    def own_phase(self, phase: Phase) -> None:
-        self._own_phase = phase
+    @local_phase.setter
+    def local_phase(self, phase: Phase) -> None:
+        self._local_phase = phase
         self._invalidate_view()
 
-    def introduce(self, addresses: Iterable[str], now: float) -> None:
+    def add_addresses(self, addresses: Iterable[str], now: float) -> None:
         """Add addresses, from seeds or the store, of members that sent no heartbeat yet."""
-        heard = {member.heartbeat.address for member in self._members.values()}
+        known_addresses = {member.heartbeat.address for member in self._members.values()}
         for address in addresses:
-            if address != self.own_address and address not in heard:
+            if address != self.local_address and address not in known_addresses:
                 self._pending_addresses[address] = now
 
-    def note_running(self, now: float) -> float:
+    def record_running(self, now: float) -> float:
         """Record that this process runs; return the seconds of its pauses since the last call.
 
         A paused process receives no heartbeats, and after the pause its timers may run before
@@ -114,17 +114,17 @@
         if self._last_ran_at is None or now <= self._last_ran_at:
             return
         gap, self._last_ran_at = now - self._last_ran_at, now
-        if gap <= PAUSE_SECONDS:
+        if gap <= MIN_PROCESS_PAUSE_SECONDS:
             return
         self._pause_seconds += gap
         for member in self._members.values():
-            if not member.suspected(now - gap):
-                member.excuse(gap - PAUSE_SECONDS)
+            if not member.is_suspected(now - gap):
+                member.exclude_pause(gap - MIN_PROCESS_PAUSE_SECONDS)
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
+    def apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Apply a heartbeat; return whether its sender is new or has restarted."""
         self._exclude_pause(now)
-        if heartbeat.name == self.own_name:
+        if heartbeat.name == self.local_name:
             return False
         self._pending_addresses.pop(heartbeat.address, None)
         known = self._members.get(heartbeat.name)
@@ -149,34 +149,34 @@
         ):
             self._invalidate_view()
         else:
-            self._view.replace(known, received)
+            self._view.replace_heartbeat(known, received)
 
     def _invalidate_view(self) -> None:
-        self._view.until = _NEVER
+        self._view.valid_until = _NEVER
 
-    def suspect(self, name: str) -> None:
+    def mark_suspected(self, name: str) -> None:
         """Suspect a member after a connection failure, until its next heartbeat."""
         member = self._members.get(name)
         if member is not None:
-            member.suspect()
+            member.mark_suspected()
             self._invalidate_view()
 
     def member(self, name: str) -> Member | None:
         """Return a member that has sent a heartbeat, or ``None``."""
         return self._members.get(name)
 
-    def suspected(self, name: str, now: float) -> bool:
+    def is_suspected(self, name: str, now: float) -> bool:
         """Return whether a member is suspected, or is not known at all."""
         self._exclude_pause(now)
         member = self._members.get(name)
-        return member is None or member.suspected(now)
+        return member is None or member.is_suspected(now)
 
     def zone_of(self, name: str) -> str:
         """Return the zone of a member; the local zone for this or an unknown member."""
         member = self._members.get(name)
-        return member.heartbeat.zone if member is not None else self.own_zone
+        return member.heartbeat.zone if member is not None else self.local_zone
 
-    def confirmed_at(self, table: StoreTable) -> float:
+    def store_confirmed_at(self, table: StoreTable) -> float:
         """Return when the store last answered another member about a table."""
         return self.store_contact(table).heard_at
 
@@ -184,7 +184,7 @@
         """Return the newest answer of the store that another member reported."""
         return self._store_contacts.get(table, StoreContact())
 
-    def probe(self, name: str, now: float) -> str | None:
+    def address_to_probe(self, name: str, now: float) -> str | None:
         """Return the address of a silent member that was not just probed, and record a probe.
 
         Heartbeats are rare in a large fleet. Members that wait for an answer of another probe
@@ -194,49 +194,49 @@
         member = self._members.get(name)
         if member is None or not member.may_be_probed(now):
             return None
-        member.note_probe(now)
-        self._view.note_deadline(member)
+        member.record_probe(now)
+        self._view.limit_validity(member)
         return member.heartbeat.address
 
-    def live(self, now: float) -> list[Member]:
+    def live_members(self, now: float) -> list[Member]:
         """Return the other members that are not suspected."""
         return list(self.view(now).live.values())
 
-    def audience(self, now: float) -> list[str]:
+    def heartbeat_addresses(self, now: float) -> list[str]:
         """Return the addresses that heartbeats go to; removes members that were silent too long."""
         self._exclude_pause(now)
-        for name in [key for key, item in self._members.items() if item.forgotten(now)]:
+        for name in [key for key, item in self._members.items() if item.should_be_removed(now)]:
             del self._members[name]
             self._invalidate_view()
         for address in [
-            key for key, at in self._pending_addresses.items() if now - at > FORGET_SECONDS
+            key for key, at in self._pending_addresses.items() if now - at > REMOVE_AFTER_SECONDS
         ]:
             del self._pending_addresses[address]
-        heard = [member.heartbeat.address for member in self._members.values()]
-        return heard + list(self._pending_addresses)
+        member_addresses = [member.heartbeat.address for member in self._members.values()]
+        return member_addresses + list(self._pending_addresses)
 
-    def interval(self) -> float:
+    def heartbeat_interval(self) -> float:
         """Return the seconds between heartbeats; grows with the fleet and the heartbeat length."""
-        audience = len(self._members) + len(self._pending_addresses)
-        rate = OWNER_BYTES_A_SECOND if self.owns else _max_send_rate(audience)
-        return max(HEARTBEAT_SECONDS, audience * self.heartbeat_bytes / rate)
+        receivers = len(self._members) + len(self._pending_addresses)
+        rate = MAX_OWNER_BYTES_PER_SECOND if self.is_owner else _max_send_rate(receivers)
+        return max(HEARTBEAT_SECONDS, receivers * self.heartbeat_bytes / rate)
 
     @property
     def heartbeat_bytes(self) -> float:
         """Return the average length of the heartbeats sent here, in bytes."""
         return self._heartbeat_bytes
 
-    def note_heartbeat(self, length: int) -> None:
+    def observe_heartbeat_length(self, length: int) -> None:
         """Update the average length of the heartbeats with one that was sent, in bytes."""
-        self._heartbeat_bytes += LENGTH_WEIGHT * (length - self._heartbeat_bytes)
+        self._heartbeat_bytes += HEARTBEAT_LENGTH_WEIGHT * (length - self._heartbeat_bytes)
 
-    def share_members(self) -> int:
+    def share_member_count(self) -> int:
         """Return the number of members that shares are divided by; silent members count."""
-        return max(SMALLEST_FLEET, len(self._members) + 1)
+        return max(MIN_FLEET_MEMBERS, len(self._members) + 1)
 
-    def known_members(self) -> int:
+    def known_member_count(self) -> int:
         """Return the number of known gateways; those that sent no heartbeat yet count."""
-        return max(SMALLEST_FLEET, len(self._members) + len(self._pending_addresses) + 1)
+        return max(MIN_FLEET_MEMBERS, len(self._members) + len(self._pending_addresses) + 1)
 
     def zone_owner(self, zone: str, key: str, now: float) -> str:
         """Return the member that decides about a key in a zone.
@@ -244,7 +244,7 @@
         The owner is a serving member of the zone. If the zone has none, or is empty, it is any
         serving member.
         """
-        return self.view(now).owner(zone, key) or self.own_name
+        return self.view(now).owner(zone, key) or self.local_name
 
     def reported_backlog(self, service: str, rank: tuple[int, int], now: float) -> int:
         """Return the pieces up to a rank that the other members' calls will still request."""
@@ -257,26 +257,26 @@
     def view(self, now: float) -> FleetView:
         """Return the live and serving members; the same object until that changes."""
         self._exclude_pause(now)
-        if now > self._view.until:
+        if now > self._view.valid_until:
             self._view = self._build_view(now)
         return self._view
 
     def _build_view(self, now: float) -> FleetView:
-        view = FleetView(until=float("inf"))
+        view = FleetView(valid_until=float("inf"))
         for member in self._members.values():
-            if not member.suspected(now):
-                view.add(member)
-        if self.own_phase == Phase.SERVING:
-            view.add_serving(self.own_name, self.own_zone, self.own_strength)
+            if not member.is_suspected(now):
+                view.add_member(member)
+        if self.local_phase == Phase.SERVING:
+            view.add_serving_member(self.local_name, self.local_zone, self.local_strength)
         return view
 
-    def ahead_in_configuration(self, version: int, now: float) -> Member | None:
+    def member_with_newer_configuration(self, version: int, now: float) -> Member | None:
         """Return the live member with the newest configuration, if newer than a version."""
         if self._highest_version <= version:
             return None
         return self._newest(version, lambda beat: beat.configuration_version, now)
 
-    def ahead_in_workers(self, revision: int, now: float) -> Member | None:
+    def member_with_newer_workers(self, revision: int, now: float) -> Member | None:
         """Return the live member with the newest list of workers, if newer than a revision."""
         if self._highest_revision <= revision:
             return None
@@ -284,7 +284,7 @@
 
     def _newest(self, known: int, number: Callable[[Heartbeat], int], now: float) -> Member | None:
         """Return the live member with the highest number above a known one, same zone first."""
-        live = self.live(now)
+        live = self.live_members(now)
         highest = max((number(member.heartbeat) for member in live), default=known)
         if highest <= known:
             return None
@@ -294,14 +294,14 @@
     def _peer_preference(self, member: Member) -> tuple[bool, int]:
         """Return a sort key: same zone first, then an order of each gateway to spread requests."""
         name = member.heartbeat.name
-        same_zone = member.heartbeat.zone == self.own_zone
-        return same_zone, rendezvous_weight(self.own_name, name)
+        same_zone = member.heartbeat.zone == self.local_zone
+        return same_zone, rendezvous_weight(self.local_name, name)
 
 
-def _max_send_rate(audience: int) -> float:
+def _max_send_rate(receivers: int) -> float:
     """Return the most bytes per second that a member sends if it owns nothing.
 
     >>> _max_send_rate(100), _max_send_rate(200)
     (25000.0, 12500.0)
     """
-    return HEARTBEAT_BYTES_A_SECOND * min(1.0, FULL_RATE_MEMBERS / max(1, audience))
+    return MAX_HEARTBEAT_BYTES_PER_SECOND * min(1.0, MAX_FULL_RATE_MEMBERS / max(1, receivers))
--- a/src/corkcrank/machines/fleet_view.py
+++ b/src/corkcrank/machines/fleet_view.py
@@ -14,7 +14,7 @@
 
 Rank = tuple[int, int]
 
-STRONG_SHARE = 0.7
+MIN_STRONG_SHARE = 0.7
 """Least share of the strongest member's strength that counts as strong. Machines of one kind are
 alike, and kinds differ by more."""
 
@@ -31,7 +31,7 @@
         for item in backlogs:
             self._add(item, 1)
 
-    def remove(self, backlogs: Iterable[ServiceBacklog]) -> None:
+    def subtract(self, backlogs: Iterable[ServiceBacklog]) -> None:
         """Subtract the backlogs that a member reported before."""
         for item in backlogs:
             self._add(item, -1)
@@ -72,7 +72,7 @@
     ``strengths`` are in processors, by name.
     """
 
-    until: float
+    valid_until: float
     live: dict[str, Member] = field(default_factory=dict)
     serving: dict[str, list[str]] = field(default_factory=dict)
     all_serving: list[str] = field(default_factory=list)
@@ -80,27 +80,27 @@
     backlogs: BacklogSums = field(default_factory=BacklogSums)
     _owners: dict[tuple[str, str], str] = field(default_factory=dict)
 
-    def add(self, member: Member) -> None:
+    def add_member(self, member: Member) -> None:
         """Add a live member and its backlogs."""
         beat = member.heartbeat
         self.live[beat.name] = member
         self.backlogs.add(beat.backlogs)
-        self.note_deadline(member)
+        self.limit_validity(member)
         if beat.phase == Phase.SERVING:
-            self.add_serving(beat.name, beat.zone, beat.strength)
+            self.add_serving_member(beat.name, beat.zone, beat.strength)
 
-    def replace(self, known: Member, received: Member) -> None:
+    def replace_heartbeat(self, known: Member, received: Member) -> None:
         """Replace the heartbeat of a live member whose phase has not changed."""
         self.live[received.heartbeat.name] = received
-        self.backlogs.remove(known.heartbeat.backlogs)
+        self.backlogs.subtract(known.heartbeat.backlogs)
         self.backlogs.add(received.heartbeat.backlogs)
-        self.note_deadline(received)
+        self.limit_validity(received)
 
-    def note_deadline(self, member: Member) -> None:
+    def limit_validity(self, member: Member) -> None:
         """Limit the validity of the view to when the member would be suspected."""
-        self.until = min(self.until, member.suspected_at)
+        self.valid_until = min(self.valid_until, member.suspected_at)
 
-    def add_serving(self, name: str, zone: str, strength: float) -> None:
+    def add_serving_member(self, name: str, zone: str, strength: float) -> None:
         """Add a serving member; ``strength`` is in processors, 0 if unknown."""
         self.serving.setdefault(zone, []).append(name)
         self.all_serving.append(name)
@@ -118,7 +118,7 @@
         names = self.serving.get(zone) or self.all_serving
         if not names:
             return None
-        min_strength = STRONG_SHARE * max(self.strengths[name] for name in names)
+        min_strength = MIN_STRONG_SHARE * max(self.strengths[name] for name in names)
         strong = [name for name in names if self.strengths[name] >= min_strength]
         owner = max(strong, key=lambda name: rendezvous_weight(key, name))
         self._owners[zone, key] = owner
--- a/src/corkcrank/machines/heartbeat_codec.py
+++ b/src/corkcrank/machines/heartbeat_codec.py
@@ -15,10 +15,10 @@
 COMPRESSION_LEVEL = 1
 """Compression level of zlib. Ids are most of a heartbeat; higher levels save 1 more byte in 100."""
 
-MAXIMUM_HEARTBEAT_BYTES = 65_536
+MAX_HEARTBEAT_BYTES = 65_536
 """Most bytes to which a received heartbeat is decompressed."""
 
-ALWAYS_PACKED = Heartbeat.__struct_fields__.index("trials")
+MIN_PACKED_FIELDS = Heartbeat.__struct_fields__.index("trials")
 """Number of leading fields that are always packed; the fields after them are rarely set."""
 
 _decoder = msgspec.msgpack.Decoder(Heartbeat)
@@ -44,7 +44,7 @@
     """Return the heartbeat of a datagram, or ``None`` for anything else."""
     unpacker = zlib.decompressobj()
     try:
-        return _decoder.decode(unpacker.decompress(data, MAXIMUM_HEARTBEAT_BYTES))
+        return _decoder.decode(unpacker.decompress(data, MAX_HEARTBEAT_BYTES))
     except (zlib.error, msgspec.DecodeError):
         return None
 
@@ -55,7 +55,7 @@
     Each byte of a heartbeat is sent to every member, so bytes that say nothing are left out.
     """
     fields = msgspec.structs.astuple(heartbeat)
-    while len(fields) > ALWAYS_PACKED and not fields[-1]:
+    while len(fields) > MIN_PACKED_FIELDS and not fields[-1]:
         fields = fields[:-1]
     return zlib.compress(msgspec.msgpack.encode(fields), COMPRESSION_LEVEL)
 
--- a/src/corkcrank/machines/load_view.py
+++ b/src/corkcrank/machines/load_view.py
@@ -30,14 +30,14 @@
     slots: int = DEFAULT_SLOTS
     models: tuple[str, ...] = ()
     reported: bool = False
-    own_starts: list[float] = field(default_factory=list)
+    local_call_starts: list[float] = field(default_factory=list)
     sampled_at: float = 0.0
     suspect_until: float = 0.0
 
     @property
     def own_in_flight(self) -> int:
         """Return the number of local calls in flight."""
-        return len(self.own_starts)
+        return len(self.local_call_starts)
 
     @property
     def load(self) -> float:
@@ -45,7 +45,7 @@
 
         The report already counts the local calls that were in flight then.
         """
-        since = len(self.own_starts) - bisect_right(self.own_starts, self.sampled_at)
+        since = len(self.local_call_starts) - bisect_right(self.local_call_starts, self.sampled_at)
         return self.reported_running + self.reported_waiting + since
 
 
@@ -104,17 +104,17 @@
         view = self._workers.get(worker)
         return Address(view.entry.address) if view is not None else None
 
-    def call_started(self, worker: WorkerId, now: float) -> None:
+    def record_call_start(self, worker: WorkerId, now: float) -> None:
         """Record a call that is sent to a back end at ``now``."""
         view = self._workers.get(worker)
         if view is not None:
-            view.own_starts.append(now)
+            view.local_call_starts.append(now)
 
-    def call_ended(self, worker: WorkerId, started: float) -> None:
+    def record_call_end(self, worker: WorkerId, started: float) -> None:
         """Record the end of the call that was sent at ``started``."""
         view = self._workers.get(worker)
-        if view is not None and started in view.own_starts:
-            view.own_starts.remove(started)
+        if view is not None and started in view.local_call_starts:
+            view.local_call_starts.remove(started)
 
     def candidates(
         self,
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -96,10 +96,10 @@
         return HeartbeatReply(
             configuration_version=self.view.adoption.announced_version,
             holder=False,
-            holder_address=self.holder_for(heartbeat.zone),
+            holder_address=self.holder_address_for_zone(heartbeat.zone),
         )
 
-    def holder_for(self, zone: str) -> Address:
+    def holder_address_for_zone(self, zone: str) -> Address:
         """Return the address of a zone's holder; empty unless it is the local zone and known."""
         lease = self.view.lease
         return lease.address if lease is not None and zone == self.view.zone else Address("")
@@ -116,7 +116,7 @@
         self.view.adoption.confirm(head_version(head), asked_at)
         if lease.value is not None:
             self.view.lease = msgspec.json.decode(lease.value, type=LeaseRow)
-        await self.fetch_wanted(None)
+        await self.fetch_wanted_configuration(None)
 
     async def _confirm_with_peer(self) -> None:
         """Ask a peer for the committed version while the table is unreachable."""
@@ -126,7 +126,7 @@
             if await self._send_heartbeat_to(address, ()):
                 return
 
-    async def fetch_wanted(self, reporter: Address | None) -> None:
+    async def fetch_wanted_configuration(self, reporter: Address | None) -> None:
         """Fetch and adopt a newer configuration from the table, or from peers if that fails."""
         version = self.view.adoption.wanted_version
         if version is None or self._fetching:
@@ -177,33 +177,33 @@
         if reply.holder:
             self._interval = reply.interval_seconds
         self.view.adoption.confirm(reply.configuration_version, asked_at)
-        await self.fetch_wanted(address)
+        await self.fetch_wanted_configuration(address)
         return True
 
-    def hear_encoded_digest(self, data: bytes) -> DigestReply:
+    def apply_encoded_digest(self, data: bytes) -> DigestReply:
         """Apply a digest that a peer pushed, call ``on_digest``, and relay it.
 
         A digest whose directory is unknown here changes nothing. The reply names the known
         directory, so the sender sends the digest again with its directory enclosed.
         """
         digest = decode_digest(data, self.view.tables)
-        if digest.zone == self.view.zone and self.view.hear_digest(digest, clock.now()):
+        if digest.zone == self.view.zone and self.view.apply_digest(digest, clock.now()):
             self.on_digest(digest)
             self._spawn(self._relay.pass_on(digest))
         if self.view.adoption.wanted_version is not None:
-            self._spawn(self.fetch_wanted(None))
+            self._spawn(self.fetch_wanted_configuration(None))
         return DigestReply(
             self.view.tables.directory_hash,
             self.view.tables.membership_hash,
             self.view.adoption.announced_version,
         )
 
-    def publish(self, digest: ZoneDigest, tables: KnownTables) -> None:
+    def publish_digest(self, digest: ZoneDigest, tables: KnownTables) -> None:
         """Apply this daemon's own digest as the holder, and send it down the relay tree."""
         enclosed = msgspec.structs.replace(
             digest, directory=tables.directory, membership=tables.membership
         )
-        if self.view.hear_digest(enclosed, clock.now()):
+        if self.view.apply_digest(enclosed, clock.now()):
             self.on_digest(enclosed)
             # The holder also has a position in the tree. The members below that position get
             # the digest when it comes back to the holder.
@@ -236,7 +236,7 @@
     def _apply_pulled_digest(self, digest: ZoneDigest) -> None:
         if digest.directory is None:
             return
-        if digest.zone == self.view.zone and not self.view.hear_digest(digest, clock.now()):
+        if digest.zone == self.view.zone and not self.view.apply_digest(digest, clock.now()):
             return
         self.on_digest(digest)
 
--- a/src/corkcrank/machines/member_view.py
+++ b/src/corkcrank/machines/member_view.py
@@ -27,7 +27,7 @@
         """Return the number of live gateways in all zones, at least one."""
         return max(1, self.digest.gateways) if self.digest is not None else 1
 
-    def hear_digest(self, digest: ZoneDigest, now: float) -> bool:
+    def apply_digest(self, digest: ZoneDigest, now: float) -> bool:
         """Apply a digest unless it is older than the known one; return whether it was applied."""
         self.adoption.announce(digest.configuration_version)
         if self.digest is not None and digest.order_key < self.digest.order_key:
@@ -49,7 +49,7 @@
                 self.tables, membership=digest.membership, membership_hash=digest.membership_hash
             )
 
-    def missing_from(self, reply: DigestReply, digest: ZoneDigest) -> Enclosures:
+    def missing_enclosures(self, reply: DigestReply, digest: ZoneDigest) -> Enclosures:
         """Return the tables that the receiver of a digest lacks, by its reply."""
         return Enclosures(
             directory=reply.directory_hash != digest.directory_hash,
@@ -60,7 +60,7 @@
         """Return whether the last digest is too old to wait for the next one."""
         return self.digest_at is None or now - self.digest_at > DIGEST_STALE_SECONDS
 
-    def position(self, member: str) -> int | None:
+    def relay_position(self, member: str) -> int | None:
         """Return the member's position in the relay tree, or ``None`` if it is not listed."""
         for number, entry in enumerate(self.tables.membership.members):
             if entry.member == member:
--- a/src/corkcrank/machines/members.py
+++ b/src/corkcrank/machines/members.py
@@ -9,19 +9,19 @@
 from corkcrank.machines.heartbeat import Heartbeat
 from corkcrank.machines.store_contact import ReportedStoreContact
 
-SUSPECT_HEARTBEATS = 4.0
+MAX_MISSED_HEARTBEATS = 4.0
 """Number of heartbeat intervals without a heartbeat after which a member is suspected."""
 
-PROBE_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 """Interval between probes of a silent member from which this one waits for an answer."""
 
-PROBED_AFTER_SECONDS = 0.6
+MIN_SILENCE_FOR_PROBE_SECONDS = 0.6
 """Silence after which a member from which this one waits for an answer is probed."""
 
-PROBE_PATIENCE_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 """Time after the first probe without a heartbeat after which a member is suspected."""
 
-FORGET_SECONDS = 60.0
+REMOVE_AFTER_SECONDS = 60.0
 """Time for which heartbeats still go to a silent member, so that a network partition heals."""
 
 
@@ -35,18 +35,18 @@
     """
 
     heartbeat: Heartbeat
-    heard_at: float
+    received_at: float
     probed_at: float | None = None
     next_probe_at: float = 0.0
-    excused: float = 0.0
+    excused_seconds: float = 0.0
 
-    def silence(self, now: float) -> float:
+    def silence_seconds(self, now: float) -> float:
         """Return the seconds without a heartbeat while this process ran."""
-        return now - self.heard_at - self.excused
+        return now - self.received_at - self.excused_seconds
 
-    def excuse(self, seconds: float) -> None:
+    def exclude_pause(self, seconds: float) -> None:
         """Exclude a pause of this process from the silence and from the probe timeout."""
-        self.excused += seconds
+        self.excused_seconds += seconds
         if self.probed_at is not None:
             self.probed_at += seconds
 
@@ -60,32 +60,38 @@
         >>> Member(beat, heard_at=5.0, probed_at=4.8).suspected_at
         5.8
         """
-        silence_limit = self.heard_at + self.excused + SUSPECT_HEARTBEATS * self.heartbeat.interval
+        silence_limit = (
+            self.received_at
+            + self.excused_seconds
+            + MAX_MISSED_HEARTBEATS * self.heartbeat.interval
+        )
         if self.probed_at is None:
             return silence_limit
-        return min(silence_limit, self.probed_at + PROBE_PATIENCE_SECONDS)
+        return min(silence_limit, self.probed_at + PROBE_TIMEOUT_SECONDS)
 
-    def suspected(self, now: float) -> bool:
+    def is_suspected(self, now: float) -> bool:
         """Return whether the member was silent for too long, or has not answered probes."""
         return now > self.suspected_at
 
-    def suspect(self) -> None:
+    def mark_suspected(self) -> None:
         """Suspect the member at once, until its next heartbeat."""
-        self.heard_at -= SUSPECT_HEARTBEATS * self.heartbeat.interval
+        self.received_at -= MAX_MISSED_HEARTBEATS * self.heartbeat.interval
 
     def may_be_probed(self, now: float) -> bool:
         """Return whether the member was silent for long enough, and was not just probed."""
-        return self.silence(now) > PROBED_AFTER_SECONDS and now >= self.next_probe_at
+        return (
+            self.silence_seconds(now) > MIN_SILENCE_FOR_PROBE_SECONDS and now >= self.next_probe_at
+        )
 
-    def note_probe(self, now: float) -> None:
+    def record_probe(self, now: float) -> None:
         """Record that the member is probed at ``now``."""
         if self.probed_at is None:
             self.probed_at = now
-        self.next_probe_at = now + PROBE_SECONDS
+        self.next_probe_at = now + PROBE_INTERVAL_SECONDS
 
-    def forgotten(self, now: float) -> bool:
+    def should_be_removed(self, now: float) -> bool:
         """Return whether the member was silent for so long that heartbeats to it stop."""
-        return self.silence(now) > FORGET_SECONDS
+        return self.silence_seconds(now) > REMOVE_AFTER_SECONDS
 
     def store_contact(self, table: StoreTable) -> ReportedStoreContact:
         """Return the newest answer of the store about a table that the member has reported."""
--- a/src/corkcrank/machines/owner_use.py
+++ b/src/corkcrank/machines/owner_use.py
@@ -1,6 +1,6 @@
 """Tracks whether a member's queues or grants were used recently, so that others decide by them."""
 
-OWNER_SECONDS = 5.0
+OWNER_USE_SECONDS = 5.0
 """Time after its last use for which a gateway counts as an owner of queues or engines. It spans a
 few of an owner's heartbeat intervals in a fleet of 195 (1.1 s each)."""
 
@@ -11,11 +11,11 @@
     def __init__(self) -> None:
         self._used_at = float("-inf")
 
-    def note(self, now: float) -> None:
+    def record_use(self, now: float) -> None:
         """Record a request to the owner."""
         self._used_at = now
 
-    def lately(self, now: float) -> bool:
+    def used_recently(self, now: float) -> bool:
         """Return whether the owner had a request within the last ``OWNER_SECONDS``.
 
         >>> use = OwnerUse()
@@ -23,4 +23,4 @@
         >>> use.lately(11.0), use.lately(16.0)
         (True, False)
         """
-        return now - self._used_at < OWNER_SECONDS
+        return now - self._used_at < OWNER_USE_SECONDS
--- a/src/corkcrank/machines/peer_routes.py
+++ b/src/corkcrank/machines/peer_routes.py
@@ -71,7 +71,7 @@
 
     async def _take_digest(self, request: web.Request) -> web.Response:
         try:
-            reply = self._agent.hear_encoded_digest(await request.read())
+            reply = self._agent.apply_encoded_digest(await request.read())
         except PeerDecodeError as error:
             return web.Response(status=HTTPStatus.BAD_REQUEST, text=str(error))
         return web.Response(body=encode_digest_reply(reply), content_type=BINARY)
--- a/src/corkcrank/machines/relay.py
+++ b/src/corkcrank/machines/relay.py
@@ -29,7 +29,7 @@
         """Send a digest to this member's children, once."""
         if digest.membership_hash != self._view.tables.membership_hash:
             return
-        position = self._view.position(self._member)
+        position = self._view.relay_position(self._member)
         if position is None or digest.order_key <= self._last_passed_on:
             return
         self._last_passed_on = digest.order_key
@@ -60,7 +60,7 @@
         if reply is None:
             await self.send_below(digest, target)
             return
-        missing = self._view.missing_from(reply, digest)
+        missing = self._view.missing_enclosures(reply, digest)
         if missing.directory or missing.membership:
             complete = encode_digest(digest, self._view.tables, missing)
             await self._peers.push_digest(entry.address, complete)
--- a/src/corkcrank/machines/routing.py
+++ b/src/corkcrank/machines/routing.py
@@ -12,10 +12,10 @@
 PREFIX_BYTES = 256
 """Leading bytes of a prompt that determine its preferred engine."""
 
-FIRST_TURNS = 65_536
+FIRST_TURN_RANGE = 65_536
 """Range of the random first turn of a round robin, so that gateways start at different turns."""
 
-PREFIX_LOAD_BOUND = 1.25
+MAX_PREFERRED_LOAD_RATIO = 1.25
 """Multiple of the mean load above which a preferred engine is skipped."""
 
 
@@ -48,7 +48,7 @@
     """Chooses the candidates in round-robin order, regardless of load."""
 
     def __init__(self, random_source: random.Random) -> None:
-        self._next = random_source.randrange(FIRST_TURNS)
+        self._next = random_source.randrange(FIRST_TURN_RANGE)
 
     def choose(self, candidates: Sequence[Candidate], affinity: str) -> Candidate:
         """Return the next candidate in round-robin order."""
@@ -101,7 +101,7 @@
         preferred = max(candidates, key=lambda item: rendezvous_weight(affinity, item.worker))
         mean = sum(item.pressure for item in candidates) / len(candidates)
         allowance = 1.0 / max(1, preferred.slots)
-        if preferred.pressure <= mean * PREFIX_LOAD_BOUND + allowance:
+        if preferred.pressure <= mean * MAX_PREFERRED_LOAD_RATIO + allowance:
             return preferred
         return self._fallback.choose(candidates, affinity)
 
--- a/src/corkcrank/machines/store_followers.py
+++ b/src/corkcrank/machines/store_followers.py
@@ -85,16 +85,16 @@
         ``own_answer_at`` is the time of the store's last answer to this gateway.
         """
         order = self._order(now)
-        own = self._fleet.own_name
+        own = self._fleet.local_name
         if own in order.followers:
             return True
-        confirmed = max(own_answer_at, self._fleet.confirmed_at(table))
+        confirmed = max(own_answer_at, self._fleet.store_confirmed_at(table))
         factor = 1.0 if own in order.next_ones else LATER_STALE_FACTOR
         return now - confirmed > self._stale_seconds * factor
 
     def follows(self, now: float) -> bool:
         """Return whether this gateway is elected to follow the store for the others."""
-        return self._fleet.own_name in self._order(now).followers
+        return self._fleet.local_name in self._order(now).followers
 
     def retry_seconds(self, failures: int, now: float) -> float:
         """Return the maximum pause in seconds after a number of consecutive failed calls.
@@ -105,7 +105,7 @@
         min_pause, max_pause = RETRY_SECONDS
         pause = min(max_pause, min_pause * 2.0 ** min(failures, MOST_DOUBLINGS))
         order = self._order(now)
-        if self._fleet.own_name in order.followers:
+        if self._fleet.local_name in order.followers:
             return pause
         shared = len(order.others) / STAND_IN_CALLS_PER_SECOND
         return max(pause, min(self._stale_seconds, shared))
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -112,7 +112,7 @@
         now = clock.now()
         for record in self.workers.records():
             if known.get(record.name) != record:
-                self.warming.note(record, now)
+                self.warming.record_entry(record, now)
         self._note_list(source)
 
     async def follow(self, table: StoreTable) -> None:
@@ -192,7 +192,7 @@
         self.workers.evacuated = self.evacuations.evacuated
         for state in changed:
             if not state.evacuated:
-                self.warming.note_taken_back(state.zone, now)
+                self.warming.record_zone_restored(state.zone, now)
             workers = [item for item in self.workers.records() if item.zone == state.zone]
             self._log.write(
                 LogEvent.ZONE_EVACUATED if state.evacuated else LogEvent.ZONE_TAKEN_BACK,
@@ -299,7 +299,7 @@
         for change in applied:
             if change.record is not None:
                 self.entries.note_readable(change.name)
-                self.warming.note(change.record, now)
+                self.warming.record_entry(change.record, now)
             self._log_change(change, source)
         if applied:
             self.on_change()
--- a/src/corkcrank/machines/warming_workers.py
+++ b/src/corkcrank/machines/warming_workers.py
@@ -24,7 +24,7 @@
         self._restored_at: dict[str, float] = {}
         self._until = _NEVER
 
-    def note(self, record: WorkerRecord, now: float) -> None:
+    def record_entry(self, record: WorkerRecord, now: float) -> None:
         """Apply a new or changed entry of a worker."""
         if record.warmup > 0:
             self._warm_at[record.worker_id] = now + record.warmup
@@ -32,12 +32,12 @@
         else:
             self._warm_at.pop(record.worker_id, None)
 
-    def note_taken_back(self, zone: str, now: float) -> None:
+    def record_zone_restored(self, zone: str, now: float) -> None:
         """Record that a zone's workers may get work again after an evacuation."""
         self._restored_at[zone] = now
         self._until = max(self._until, now + MAX_START_SECONDS)
 
-    def any(self, now: float) -> bool:
+    def any_warming(self, now: float) -> bool:
         """Return whether any worker may be warming up; during most of a day none is."""
         return now < self._until
 
@@ -57,7 +57,7 @@
             return True
         return now < self._restored_at.get(record.zone, _NEVER) + start_seconds
 
-    def forget_all_but(self, worker_ids: Collection[str]) -> None:
+    def retain_only(self, worker_ids: Collection[str]) -> None:
         """Remove workers that are no longer listed."""
         for worker_id in self._warm_at.keys() - set(worker_ids):
             del self._warm_at[worker_id]
--- a/src/corkcrank/machines/worker_pools.py
+++ b/src/corkcrank/machines/worker_pools.py
@@ -9,7 +9,7 @@
 
 from corkcrank.contracts.worker_records import WorkerList, WorkerRecord
 
-MOST_POOL_WORKERS = 6
+MAX_POOL_WORKERS = 6
 """Largest pool: about 15 batches and 200 pieces per second take a tenth of a core of its owner."""
 
 
@@ -22,13 +22,13 @@
     workers: tuple[WorkerRecord, ...]
 
 
-def pool_of(table: WorkerList, worker: WorkerRecord) -> WorkerPool:
+def pool_for_worker(table: WorkerList, worker: WorkerRecord) -> WorkerPool:
     """Return the pool of a worker: all workers of its service and zone, or it alone if too many.
 
     Pools do not span zones. That would serve a few more calls, but three to six times the bytes
     of results would cross zones.
     """
     same_zone = table.usable_in(worker.service, worker.zone)
-    if len(same_zone) <= MOST_POOL_WORKERS and worker in same_zone:
+    if len(same_zone) <= MAX_POOL_WORKERS and worker in same_zone:
         return WorkerPool(worker.zone, worker.service, same_zone)
     return WorkerPool(worker.zone, worker.worker_id, (worker,))
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -133,7 +133,7 @@
 
     def repeats_left(self, now: float) -> dict[str, float]:
         """Return the repeats left in this gateway's share of each service's budget."""
-        members = self.fleet.share_members()
+        members = self.fleet.share_member_count()
         return {
             service: round(budget.remaining(now, members), 2)
             for service, budget in self._budgets.items()
@@ -161,8 +161,8 @@
     def could_repeat(self, service: str) -> bool:
         """Return whether this gateway's share allows a repeat now, without spending it."""
         now = clock.now()
-        return self.budget(service).remaining(now, self.fleet.share_members()) >= 1.0
+        return self.budget(service).remaining(now, self.fleet.share_member_count()) >= 1.0
 
     def may_repeat(self, service: str) -> bool:
         """Spend one repeat of the fleet's budget, if this gateway's share allows it."""
-        return self.budget(service).try_spend(clock.now(), self.fleet.share_members())
+        return self.budget(service).try_spend(clock.now(), self.fleet.share_member_count())
--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -80,7 +80,7 @@
             repeatable=request.repeatable,
         )
         now = clock.now()
-        self.use.note(now)
+        self.use.record_use(now)
         waits = {
             engine.worker_id: self._limits.seconds_until_grant(engine, now) for engine in engines
         }
@@ -197,7 +197,7 @@
             return
         message = PrefillDone(call.call_id, call.service, read)
         member = self._fleet.member(owner)
-        if owner == self._fleet.own_name or member is None:
+        if owner == self._fleet.local_name or member is None:
             self._engine_owner.done(message)
             return
         data = msgspec.msgpack.encode(message)
@@ -211,7 +211,7 @@
     async def _ask_owner(self, owner: str, request: PrefillRequest) -> PrefillGrant | None:
         self._owners[request.call_id] = owner
         member = self._fleet.member(owner)
-        if owner == self._fleet.own_name or member is None:
+        if owner == self._fleet.local_name or member is None:
             return self._engine_owner.grant(request)
         data = msgspec.msgpack.encode(request)
         body = await self._peers.ask(
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -103,7 +103,7 @@
         wait = min((grant.wait for grant in grants), default=0.0)
         # Each gateway gives retry times to its own callers only, but a caller may retry at any
         # gateway, so each hands out its share of the rate.
-        rate = sum(grant.rate for grant in grants) / self._fleet.share_members()
+        rate = sum(grant.rate for grant in grants) / self._fleet.share_member_count()
         return LimitVerdict(
             None, self._return_times.next_return_seconds(call.service, wait, rate, now)
         )
@@ -141,7 +141,7 @@
 
     async def _ask_owner(self, owner: str, request: LimitGrantRequest) -> LimitGrant | None:
         member = self._fleet.member(owner)
-        if owner == self._fleet.own_name or member is None:
+        if owner == self._fleet.local_name or member is None:
             return self._owner.grant_request(request)
         data = msgspec.msgpack.encode(request)
         address = member.heartbeat.address
--- a/src/corkcrank/node/limits/worker_limits.py
+++ b/src/corkcrank/node/limits/worker_limits.py
@@ -30,7 +30,7 @@
         self._mirror = mirror
         self._stated = stated
         self._fleet = fleet
-        self._slots = LocalSlots(fleet.own_name)
+        self._slots = LocalSlots(fleet.local_name)
         self._begun = GrantLog()
         self._sent = GrantLog()
 
@@ -57,7 +57,7 @@
 
     def warmup_rate(self, worker: WorkerRecord, now: float) -> float | None:
         """Return the limit of a worker that is warming up, ``None`` if it is not."""
-        if not self._mirror.warming.any(now):
+        if not self._mirror.warming.any_warming(now):
             return None
         profile = self._mirror.profile(worker.service)
         if profile is None or profile.warmup_rate <= 0:
@@ -90,17 +90,17 @@
         rate = self.rate(worker, now)
         if rate is None:
             return True
-        return self._slots.is_open(worker.worker_id, rate, self._fleet.known_members(), now)
+        return self._slots.is_open(worker.worker_id, rate, self._fleet.known_member_count(), now)
 
     def record_sent(self, worker: WorkerRecord, now: float) -> None:
         """Record that a request is sent to a worker without a grant of the owner."""
         rate = self.rate(worker, now)
         if rate is not None:
-            self._slots.record_use(worker.worker_id, rate, self._fleet.known_members(), now)
+            self._slots.record_use(worker.worker_id, rate, self._fleet.known_member_count(), now)
 
     def limited(self, workers: Collection[WorkerRecord], now: float) -> list[WorkerRecord]:
         """Return the workers among those given that have a limit."""
-        if self._stated.empty and not self._mirror.warming.any(now):
+        if self._stated.empty and not self._mirror.warming.any_warming(now):
             return []
         return [worker for worker in workers if self.limits(worker, now)]
 
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -11,7 +11,7 @@
 from corkcrank.links.datagrams import DatagramLink, send_spread
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.links.platform_ports import StoreTable
-from corkcrank.machines.fleet import RUN_NOTE_SECONDS, Fleet
+from corkcrank.machines.fleet import RUN_RECORD_SECONDS, Fleet
 from corkcrank.machines.heartbeat import CallLoad, Heartbeat, Phase, SentPrefix, ServiceBacklog
 from corkcrank.machines.heartbeat_codec import decode_heartbeat, encode_heartbeat
 from corkcrank.machines.members import Member
@@ -50,7 +50,7 @@
 NEWS_PAUSE_SECONDS = 0.05
 """Minimum time between two forwardings."""
 
-LEAST_SUSPENSION_SECONDS = RUN_NOTE_SECONDS
+LEAST_SUSPENSION_SECONDS = RUN_RECORD_SECONDS
 """Smaller differences between the two clocks from one check to the next are ignored."""
 
 MAXIMUM_CALL_LOADS = 128
@@ -103,7 +103,7 @@
 
     async def open(self) -> None:
         """Bind the datagram address."""
-        await self._link.open(self._fleet.own_address)
+        await self._link.open(self._fleet.local_address)
 
     def close(self) -> None:
         """Stop sending and receiving."""
@@ -113,11 +113,11 @@
         """Send heartbeats until cancelled."""
         while True:
             now = clock.now()
-            self._fleet.owns = self._stage_owner.backlog.use.lately(
+            self._fleet.is_owner = self._stage_owner.backlog.use.used_recently(
                 now
-            ) or self._engine_owner.use.lately(now)
-            audience = self._fleet.audience(now)
-            seconds = self._fleet.interval() * self._random.uniform(*BEAT_SPREAD)
+            ) or self._engine_owner.use.used_recently(now)
+            audience = self._fleet.heartbeat_addresses(now)
+            seconds = self._fleet.heartbeat_interval() * self._random.uniform(*BEAT_SPREAD)
             await send_spread(self._link, self._encode_heartbeat, audience, seconds)
             self._discard_suspected_peers()
 
@@ -125,13 +125,13 @@
         """Record periodically that this process runs, to detect its own pauses and suspensions."""
         meter = clock.SuspensionMeter()
         while True:
-            paused = self._fleet.note_running(clock.now())
+            paused = self._fleet.record_running(clock.now())
             if paused:
                 self._log.write(LogEvent.PROCESS_PAUSED, seconds=round(paused, 3))
             suspended = meter.measure()
             if suspended > LEAST_SUSPENSION_SECONDS:
                 self.on_suspended(suspended)
-            await asyncio.sleep(RUN_NOTE_SECONDS)
+            await asyncio.sleep(RUN_RECORD_SECONDS)
 
     def tell_soon(self) -> None:
         """Request an immediate heartbeat to all members, beside the scheduled ones."""
@@ -142,7 +142,7 @@
         while True:
             await self._urgent_requested.wait()
             self._urgent_requested.clear()
-            audience = self._fleet.audience(clock.now())
+            audience = self._fleet.heartbeat_addresses(clock.now())
             total_bytes = len(audience) * self._fleet.heartbeat_bytes
             seconds = max(URGENT_SPREAD_SECONDS, total_bytes / URGENT_BYTES_A_SECOND)
             await send_spread(self._link, self._encode_heartbeat, audience, seconds)
@@ -161,7 +161,7 @@
         while True:
             await self._forwarding_requested.wait()
             self._forwarding_requested.clear()
-            audience = self._fleet.audience(clock.now())
+            audience = self._fleet.heartbeat_addresses(clock.now())
             chosen = self._random.sample(audience, min(NEWS_MEMBERS, len(audience)))
             data = self._encode_heartbeat()
             for address in chosen:
@@ -171,14 +171,14 @@
 
     def probe(self, name: str) -> None:
         """Send a probe to a member that this one waits for, unless it sent something just now."""
-        address = self._fleet.probe(name, clock.now())
+        address = self._fleet.address_to_probe(name, clock.now())
         if address is not None:
             heartbeat = self._build_heartbeat(clock.now())
             self._link.send(encode_heartbeat(replace(heartbeat, probe=True)), address)
 
     def _encode_heartbeat(self) -> bytes:
         data = encode_heartbeat(self._build_heartbeat(clock.now()))
-        self._fleet.note_heartbeat(len(data))
+        self._fleet.observe_heartbeat_length(len(data))
         return data
 
     def _build_heartbeat(self, now: float) -> Heartbeat:
@@ -188,12 +188,12 @@
             if statistics.in_flight
         ]
         return Heartbeat(
-            name=self._fleet.own_name,
+            name=self._fleet.local_name,
             incarnation=self._incarnation,
-            zone=self._fleet.own_zone,
-            address=self._fleet.own_address,
-            phase=self._fleet.own_phase,
-            interval=self._fleet.interval(),
+            zone=self._fleet.local_zone,
+            address=self._fleet.local_address,
+            phase=self._fleet.local_phase,
+            interval=self._fleet.heartbeat_interval(),
             configuration_version=self._mirror.version,
             configuration_contact=self._store_contact(StoreTable.CONFIGURATION, now),
             workers_revision=self._mirror.workers.revision,
@@ -205,14 +205,20 @@
                 ServiceBacklog(service, rank, pieces, rate)
                 for service, rank, pieces, rate in self._stage_owner.backlog.counts_with_rates(now)
             ),
-            prefixes=self._recent_prefixes.prefixes_to_report(now, self._fleet.interval()),
+            prefixes=self._recent_prefixes.prefixes_to_report(
+                now, self._fleet.heartbeat_interval()
+            ),
             forecast_ratios=self._forecast_bias.measurements_to_report(now),
-            strength=self._fleet.own_strength,
+            strength=self._fleet.local_strength,
             outcomes=self._health.outcomes_to_report(now),
-            trials=self._crash_watch.quarantine.trial_reports(now, self._fleet.interval()),
+            trials=self._crash_watch.quarantine.trial_reports(
+                now, self._fleet.heartbeat_interval()
+            ),
             zone_states=self._mirror.evacuations.told(),
             limits=self._statements.limits.reports_for_peers(now),
-            crashes=self._crash_watch.quarantine.crash_reports(now, self._fleet.interval()),
+            crashes=self._crash_watch.quarantine.crash_reports(
+                now, self._fleet.heartbeat_interval()
+            ),
         )
 
     def _store_contact(self, table: StoreTable, now: float) -> ReportedStoreContact:
@@ -228,7 +234,7 @@
         if heartbeat.probe:
             self._link.send(self._encode_heartbeat(), heartbeat.address)
         before = self._fleet.member(heartbeat.name)
-        if self._fleet.hear(heartbeat, now):
+        if self._fleet.apply_heartbeat(heartbeat, now):
             self._record_restart(before)
             self._log.write(
                 LogEvent.MEMBER_JOINED,
@@ -254,7 +260,7 @@
     def _record_restart(self, before: Member | None) -> None:
         """Record that a member was restarted: without a leave message before, it had crashed."""
         if before is not None and before.heartbeat.phase != Phase.LEAVING:
-            self._crash_watch.record_member_unreachable(before.heartbeat.name, before.heard_at)
+            self._crash_watch.record_member_unreachable(before.heartbeat.name, before.received_at)
 
     def _apply_worker_changes(self, batch: WorkerChangeBatch, name: str, now: float) -> None:
         if not self._mirror.take_changes(batch, f"peer {name}"):
@@ -277,12 +283,12 @@
     def _discard_suspected_peers(self) -> None:
         now = clock.now()
         for name in self._loads.peers():
-            if self._fleet.suspected(name, now):
+            if self._fleet.is_suspected(name, now):
                 self._loads.remove_peer(name)
                 self._forecast_bias.discard_peer(name)
                 self._health.discard_peer(name)
                 member = self._fleet.member(name)
-                age = now - member.heard_at if member is not None else None
+                age = now - member.received_at if member is not None else None
                 self._log.write(LogEvent.MEMBER_SUSPECTED, member=name, silent=age)
                 if member is not None and member.heartbeat.phase != Phase.LEAVING:
-                    self._crash_watch.record_member_unreachable(name, member.heard_at)
+                    self._crash_watch.record_member_unreachable(name, member.received_at)
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -81,7 +81,7 @@
         return now - self._behind_since.setdefault(table, now) >= limit
 
     async def _pull_configuration(self, now: float) -> None:
-        member = self._fleet.ahead_in_configuration(self._mirror.version, now)
+        member = self._fleet.member_with_newer_configuration(self._mirror.version, now)
         is_follower = self._mirror.version and self._mirror.is_follower(StoreTable.CONFIGURATION)
         limit = CONFIGURATION_LAG_SECONDS if is_follower else 0.0
         if not self._lags_for(StoreTable.CONFIGURATION, member, limit, now) or member is None:
@@ -97,7 +97,7 @@
                 self.on_adopted()
 
     async def _pull_workers(self, now: float) -> None:
-        member = self._fleet.ahead_in_workers(self._mirror.workers.revision, now)
+        member = self._fleet.member_with_newer_workers(self._mirror.workers.revision, now)
         limit = WORKERS_LAG_SECONDS if self._mirror.workers_known else 0.0
         if not self._lags_for(StoreTable.WORKERS, member, limit, now) or member is None:
             return
@@ -121,7 +121,7 @@
         """
         if len(self._members_asked_for_crashes) >= CRASH_HISTORY_MEMBERS:
             return
-        live = self._fleet.live(now)
+        live = self._fleet.live_members(now)
         new = [item for item in live if item.heartbeat.name not in self._members_asked_for_crashes]
         for member in new[: CRASH_HISTORY_MEMBERS - len(self._members_asked_for_crashes)]:
             body = await self._peers.ask(member.heartbeat.address, CRASHES_PATH, repeat=True)
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -99,7 +99,7 @@
 
     async def keep(self) -> None:
         """Read the rows once, then keep them up to date until cancelled."""
-        while self._fleet.own_phase != Phase.SERVING:
+        while self._fleet.local_phase != Phase.SERVING:
             await asyncio.sleep(READ_DELAY_SECONDS)
         await asyncio.sleep(READ_DELAY_SECONDS)
         if self._election.follows(clock.now()):
@@ -165,7 +165,7 @@
         rows = [
             (request, self._row(request, offset))
             for request in self._quarantine.blamed_requests(now)
-            if self._fleet.zone_owner("", request, now) == self._fleet.own_name
+            if self._fleet.zone_owner("", request, now) == self._fleet.local_name
         ]
         return [(key, row) for key, row in rows if row.size != self._written.get(key)]
 
--- a/src/corkcrank/node/peers/peer_client.py
+++ b/src/corkcrank/node/peers/peer_client.py
@@ -15,12 +15,12 @@
     drop_all_idle,
     drop_idle,
 )
-from corkcrank.machines.members import PROBE_PATIENCE_SECONDS, PROBED_AFTER_SECONDS
+from corkcrank.machines.members import PROBE_TIMEOUT_SECONDS, MIN_SILENCE_FOR_PROBE_SECONDS
 
 PEER_CONNECT_SECONDS = 0.3
 """Timeout for connecting to a peer."""
 
-PEER_SILENCE_SECONDS = PROBED_AFTER_SECONDS + PROBE_PATIENCE_SECONDS
+PEER_SILENCE_SECONDS = MIN_SILENCE_FOR_PROBE_SECONDS + PROBE_TIMEOUT_SECONDS
 """A connection is dropped if no byte of an expected answer arrives for this time: the time after
 which a member that is waited for and does not answer probes is suspected."""
 
--- a/src/corkcrank/node/process/background.py
+++ b/src/corkcrank/node/process/background.py
@@ -29,7 +29,7 @@
     while isinstance(rows := await store.read(StoreTable.MEMBERS), StoreFailure):
         await asyncio.sleep(REGISTER_RETRY_SECONDS)
     addresses = [row.value.decode() for row in rows.rows if isinstance(row.value, bytes)]
-    fleet.introduce(addresses, clock.now())
+    fleet.add_addresses(addresses, clock.now())
     heartbeats.tell_soon()
 
 
@@ -39,4 +39,4 @@
         scheduled_at = clock.now() + LAG_PROBE_SECONDS
         await asyncio.sleep(LAG_PROBE_SECONDS)
         metrics.loop_lag.observe(max(0.0, clock.now() - scheduled_at))
-        metrics.members.set(len(fleet.live(clock.now())) + 1)
+        metrics.members.set(len(fleet.live_members(clock.now())) + 1)
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -216,7 +216,7 @@
         self._log.write(LogEvent.STARTED, name=process.name, zone=process.zone)
         port = process.peer_address.rsplit(":", 1)[1]
         seeds = [f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self._settings.peers.seeds]
-        self.fleet.introduce(seeds, clock.now())
+        self.fleet.add_addresses(seeds, clock.now())
         await self._peer_server.start(process.peer_addresses)
         await self.heartbeats.open()
         self._readiness = await serve_readiness(
@@ -308,21 +308,21 @@
         self._engines.retain_only(listed)
         self._health.retain_only(listed)
         self._statements.limits.retain_only(listed)
-        self.mirror.warming.forget_all_but(listed)
+        self.mirror.warming.retain_only(listed)
         self.stage_owner.workers_changed()
 
     async def _become_ready(self) -> None:
         while self.mirror.configuration is None or not self.mirror.workers_known:
             await asyncio.sleep(CHECK_SECONDS)
         if self.life.fire(ProcessTrigger.SERVE):
-            self.fleet.own_phase = Phase.SERVING
+            self.fleet.local_phase = Phase.SERVING
             self._log.write(LogEvent.READY, version=self.mirror.version)
 
     async def _drain(self, signalled_at: float) -> None:
         """Finish the calls in flight within the grace period, then accept no more."""
         started_at = clock.now()
         self.life.fire(ProcessTrigger.DRAIN)
-        self.fleet.own_phase = Phase.LEAVING
+        self.fleet.local_phase = Phase.LEAVING
         self.heartbeats.tell_soon()
         self._log.write(
             LogEvent.STOPPING,
--- a/src/corkcrank/node/process/state_collector.py
+++ b/src/corkcrank/node/process/state_collector.py
@@ -57,7 +57,7 @@
         )
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
             age = self._services.mirror.age(table, now)
-            reported_age = now - self._services.fleet.confirmed_at(table)
+            reported_age = now - self._services.fleet.store_confirmed_at(table)
             family.add_metric((table.value,), min(age, reported_age))
         return family
 
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -109,7 +109,7 @@
     now = clock.now()
     mirror = services.mirror
     return NodeDump(
-        name=services.fleet.own_name,
+        name=services.fleet.local_name,
         state=state,
         configuration_version=mirror.version,
         configuration_age=mirror.age(StoreTable.CONFIGURATION, now),
@@ -207,7 +207,7 @@
             name=member.heartbeat.name,
             zone=member.heartbeat.zone,
             phase=member.heartbeat.phase,
-            silent=round(now - member.heard_at, 3),
+            silent=round(now - member.received_at, 3),
         )
-        for member in services.fleet.live(now)
+        for member in services.fleet.live_members(now)
     )
--- a/src/corkcrank/node/stages/downstream_backlog.py
+++ b/src/corkcrank/node/stages/downstream_backlog.py
@@ -26,7 +26,7 @@
         """Count the pieces that follow the given work until it has ended."""
         rank = work.urgency.rank
         later_rank = begun_rank(rank)
-        self.use.note(now)
+        self.use.record_use(now)
         if work.begins:
             self.record_requested(work.service, rank, len(work.pieces), now)
         for later in work.following:
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -7,7 +7,7 @@
 from corkcrank.contracts.opaque_configuration import ServiceProfile
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.machines.store_mirror import StoreMirror
-from corkcrank.machines.worker_pools import pool_of
+from corkcrank.machines.worker_pools import pool_for_worker
 from corkcrank.node.limits.worker_limits import WorkerLimits
 from corkcrank.node.peers.peer_protocol import StageWork
 from corkcrank.node.stages.stage_room import WorkerRoom
@@ -100,7 +100,7 @@
         """
         urgency = work.urgency.on_clock(now)
         choices = []
-        for other in pool_of(self._mirror.workers, worker).workers:
+        for other in pool_for_worker(self._mirror.workers, worker).workers:
             statistics = self._worker_statistics.get_or_create(other.worker_id)
             unhealthy = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
             if other is not worker and (statistics.is_unavailable(now) or unhealthy):
--- a/src/corkcrank/node/stages/stage_dispatch.py
+++ b/src/corkcrank/node/stages/stage_dispatch.py
@@ -11,7 +11,7 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.store_mirror import StoreMirror
-from corkcrank.machines.worker_pools import pool_of
+from corkcrank.machines.worker_pools import pool_for_worker
 from corkcrank.node.peers.peer_client import PeerClient
 from corkcrank.node.peers.peer_protocol import FreeResults, StageAnswer, StageWork
 from corkcrank.node.stages.stage_owner import StageOwner
@@ -70,7 +70,7 @@
 
     def owner_of(self, worker: WorkerRecord, now: float) -> str:
         """Return the name of the member that owns the queues of a worker's pool."""
-        pool = pool_of(self._mirror.workers, worker)
+        pool = pool_for_worker(self._mirror.workers, worker)
         return self._fleet.zone_owner(pool.zone, pool.key, now)
 
     def forecast(
@@ -80,7 +80,7 @@
         now = clock.now()
         queue = self._stage_owner.queue(worker.worker_id)
         owner = self.owner_of(worker, now)
-        if owner == self._fleet.own_name and queue is not None:
+        if owner == self._fleet.local_name and queue is not None:
             return queue.forecast(now, urgency.on_clock(now), pieces, size)
         return self._told_forecast(worker, owner, urgency, pieces, size)
 
@@ -94,7 +94,7 @@
         member = self._fleet.member(owner)
         start, waiting, told_at, room = 0.0, 0, 0.0, capacity.room_bytes
         if member is not None:
-            told_at = member.heard_at
+            told_at = member.received_at
             for load in member.heartbeat.stage_loads:
                 if load.worker_id == worker.worker_id:
                     start = max(0.0, load.start_seconds(urgency.rank) - (now - told_at))
@@ -178,7 +178,7 @@
         """Have the owner of a worker run pieces."""
         owner = self.owner_of(worker, clock.now())
         member = self._fleet.member(owner)
-        if owner == self._fleet.own_name or member is None:
+        if owner == self._fleet.local_name or member is None:
             return await self._stage_owner.make(work)
         sent = _SentPieces(clock.now(), len(work.pieces))
         self._sent.setdefault(worker.worker_id, []).append(sent)
@@ -193,7 +193,7 @@
         for worker, handles in by_worker.values():
             owner = self.owner_of(worker, now)
             member = self._fleet.member(owner)
-            if owner == self._fleet.own_name or member is None:
+            if owner == self._fleet.local_name or member is None:
                 self._stage_owner.free(worker.worker_id, handles)
                 continue
             self.owners.free(
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -12,7 +12,7 @@
 from corkcrank.links.platform_ports import PieceOutcome, PieceResult
 from corkcrank.machines.heartbeat import StageLoad
 from corkcrank.machines.store_mirror import StoreMirror
-from corkcrank.machines.worker_pools import pool_of
+from corkcrank.machines.worker_pools import pool_for_worker
 from corkcrank.node.limits.worker_limits import WorkerLimits
 from corkcrank.node.peers.peer_protocol import StageAnswer, StageWork
 from corkcrank.node.stages.downstream_backlog import DownstreamBacklog
@@ -233,7 +233,7 @@
 
     def _offer(self, entry: OwnedQueue, profile: ServiceProfile) -> None:
         """Let idle workers of the pool steal pieces that are queued for a busy worker."""
-        for worker in pool_of(self._mirror.workers, entry.worker).workers:
+        for worker in pool_for_worker(self._mirror.workers, entry.worker).workers:
             if not entry.queue.waiting:
                 return
             if worker.worker_id != entry.worker.worker_id:
--- a/src/corkcrank/node/stages/stage_owner_client.py
+++ b/src/corkcrank/node/stages/stage_owner_client.py
@@ -64,7 +64,7 @@
             lost = PieceResult(PieceOutcome.FAILED)
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"no word from owner {owner}")
         if isinstance(answer, PeerTrouble):
-            self._fleet.suspect(owner)
+            self._fleet.mark_suspected(owner)
             lost = PieceResult(PieceOutcome.REFUSED)
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"owner {owner} is lost")
         return answer
@@ -91,7 +91,7 @@
         while not request.done():
             await asyncio.wait({request}, timeout=WATCH_SECONDS)
             self.on_wait(owner)
-            if self._fleet.suspected(owner, clock.now()):
+            if self._fleet.is_suspected(owner, clock.now()):
                 return
 
     def _give_up(
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -180,7 +180,7 @@
             spread=round(verdict.spread_seconds, 3),
             returning=self._call.returning,
             retry_after=round(verdict.retry_after, 3),
-            members=self._services.fleet.share_members(),
+            members=self._services.fleet.share_member_count(),
         )
 
 
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -11,7 +11,7 @@
 from corkcrank.links.datagrams import MAXIMUM_DATAGRAM_BYTES
 from corkcrank.machines.heartbeat import CallLoad, Heartbeat, Phase, SentPrefix, StageLoad
 from corkcrank.machines.heartbeat_codec import (
-    MAXIMUM_HEARTBEAT_BYTES,
+    MAX_HEARTBEAT_BYTES,
     decode_heartbeat,
     encode_heartbeat,
 )
@@ -83,7 +83,7 @@
 
 
 def test_a_datagram_that_decompresses_to_too_much_does_not_decode() -> None:
-    padded = msgspec.msgpack.encode(heartbeat(0, 0, 0, 0)) + bytes(50 * MAXIMUM_HEARTBEAT_BYTES)
+    padded = msgspec.msgpack.encode(heartbeat(0, 0, 0, 0)) + bytes(50 * MAX_HEARTBEAT_BYTES)
     assert decode_heartbeat(zlib.compress(padded)) is None
 
 
--- a/tests/core/test_load_view.py
+++ b/tests/core/test_load_view.py
@@ -67,14 +67,14 @@
     view = LoadView("a")
     entry = WorkerEntry(WorkerId("w"), "llm", "a", "1.1.1.1:1")
     view.apply_directory(Directory(workers=(entry,), list_version=1))
-    view.call_started(WorkerId("w"), 10.0)
-    view.call_started(WorkerId("w"), 19.5)
+    view.record_call_start(WorkerId("w"), 10.0)
+    view.record_call_start(WorkerId("w"), 19.5)
     view.apply_loads([WorkerLoad(WorkerId("w"), 1, 0, 8)], 20.0)
     assert view.candidates("llm", 20.0)[0].load == 2, "the second was sent after the sample"
-    view.call_started(WorkerId("w"), 20.5)
+    view.record_call_start(WorkerId("w"), 20.5)
     assert view.candidates("llm", 20.5)[0].load == 3
-    view.call_ended(WorkerId("w"), 10.0)
+    view.record_call_end(WorkerId("w"), 10.0)
     assert view.candidates("llm", 20.5)[0].load == 3, "the report still counts the first"
-    view.call_ended(WorkerId("w"), 19.5)
-    view.call_ended(WorkerId("w"), 20.5)
+    view.record_call_end(WorkerId("w"), 19.5)
+    view.record_call_end(WorkerId("w"), 20.5)
     assert view.candidates("llm", 20.5)[0].load == 1
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -42,7 +42,7 @@
         self.pushes += 1
         if address in self._dead:
             return None
-        return self._agents[address].hear_encoded_digest(digest)
+        return self._agents[address].apply_encoded_digest(digest)
 
 
 def make_agent(name: str, peers: PeerClient) -> MemberAgent:
@@ -71,7 +71,7 @@
     state.forget_silent(0.0)
     state.validate()
     for _ in range(2):
-        agents[names[holder]].publish(state.make_digest(1, 1), state.tables)
+        agents[names[holder]].publish_digest(state.make_digest(1, 1), state.tables)
         for _ in range(40 * count):
             await asyncio.sleep(0)
     return list(agents.values()), peers
@@ -120,5 +120,5 @@
         gateways=5,
         loads=(),
     )
-    assert not view.hear_digest(old, 9.0)
+    assert not view.apply_digest(old, 9.0)
     assert view.digest is before
--- a/tests/platform/node_world.py
+++ b/tests/platform/node_world.py
@@ -196,7 +196,7 @@
 
 async def _serve_peers_behind(node: Node, link: SilentLink) -> None:
     """Have peers reach a gateway through a link; datagrams pass beside it."""
-    address = node.fleet.own_address
+    address = node.fleet.local_address
     behind = f"{address.rsplit(':', 1)[0]}:{new_ports(1)[0]}"
     serve = node._peer_server.start
     node._peer_server.start = lambda addresses: serve([behind])  # type: ignore[method-assign]
@@ -211,7 +211,7 @@
 
     ``refused`` has the store turn it away; its peers reach it through ``link``.
     """
-    first = running.nodes[0].fleet.own_address
+    first = running.nodes[0].fleet.local_address
     port = int(first.rsplit(":", 1)[1])
     settings = settings_for(ip, "z1", running.store.server.address, (first,), grace=0.6)
     process = msgspec.structs.replace(settings.process, peer_ports=(port, port + 1))
--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -154,7 +154,7 @@
     async with pair(asyncio.Event()) as two:
         nodes = two.running.nodes
         name = nodes[0].fleet.zone_owner("z1", "model", clock.now())
-        owner = next(node for node in nodes if node.fleet.own_name == name)
+        owner = next(node for node in nodes if node.fleet.local_name == name)
         grant = owner._peer_server._routes[PREFILL_REQUEST_PATH]
 
         async def slowly(request: web.BaseRequest) -> web.Response:
@@ -187,7 +187,7 @@
         await until(lambda: two.encode.reports > 0)
         left_at = clock.now()
         for _ in range(5):
-            send_and_close_unread(two.owner.fleet.own_address, pieces_request(two.encode))
+            send_and_close_unread(two.owner.fleet.local_address, pieces_request(two.encode))
         await until(lambda: clock.now() > left_at + LEAVE_SECONDS)
         assert not two.encode.calls
         assert two.waiting() == 0
@@ -221,7 +221,7 @@
     """An owner handed results to an asker that had closed; they held room for their time."""
     gate = asyncio.Event()
     async with pair(gate) as two:
-        host, port = two.owner.fleet.own_address.rsplit(":", 1)
+        host, port = two.owner.fleet.local_address.rsplit(":", 1)
         with socket.create_connection((host, int(port))) as asker:
             make = two.owner.stage_owner.make
 
--- a/tests/platform/test_crash_evidence.py
+++ b/tests/platform/test_crash_evidence.py
@@ -53,7 +53,7 @@
     """Have both requests crash 3 workers, each at its own gateway; wait until all can decide."""
     nodes = (running.nodes[0], peer)
     await until(lambda: all(node.ready for node in nodes))
-    await until(lambda: len(peer.fleet.live(clock.now())) == 1)
+    await until(lambda: len(peer.fleet.live_members(clock.now())) == 1)
     record_crashes(running.nodes[0], ORDINARY, CRASHED_WORKERS)
     record_crashes(peer, CRASHING, CRASHED_WORKERS)
     await until(
@@ -112,7 +112,7 @@
     async with world(configuration(1, ROUTES), workers_by_id("plain", workers)) as running:
         node = running.nodes[0]
         async with peer_of(running, loopback_address(2)) as peer:
-            await until(lambda: len(node.fleet.live(clock.now())) == 1)
+            await until(lambda: len(node.fleet.live_members(clock.now())) == 1)
             record_crashes(node, ORDINARY, CRASHED_WORKERS)
             peer.heartbeats.close()
             records = node.crash_watch.quarantine.records
@@ -147,7 +147,7 @@
         node = running.nodes[0]
         record_crashes(node, CRASHING, CRASHED_WORKERS)
         assert running.session is not None
-        url = f"http://{node.fleet.own_address}{CRASHES_PATH}"
+        url = f"http://{node.fleet.local_address}{CRASHES_PATH}"
         async with running.session.post(url) as answer:
             reply = msgspec.msgpack.decode(await answer.read(), type=CrashesAnswer)
         assert sorted(report.worker_id for report in reply.reports) == sorted(CRASHED_WORKERS)
--- a/tests/platform/test_ended_workers.py
+++ b/tests/platform/test_ended_workers.py
@@ -52,7 +52,7 @@
     document = configuration(1, [{**item, "max_attempts": 1} for item in ROUTES])
     async with world(document, served) as running, peer_of(running, loopback_address(2)) as peer:
         await until(lambda: all(node.ready for node in running.nodes))
-        await until(lambda: len(peer.fleet.live(0.0)) == 1)
+        await until(lambda: len(peer.fleet.live_members(0.0)) == 1)
         await crash_one_worker(running, prefix, workers)
         for number in range(2):
             calls = (running.call(f"{prefix}{call}", number=number) for call in range(CALLS))
--- a/tests/platform/test_engine_owners.py
+++ b/tests/platform/test_engine_owners.py
@@ -25,7 +25,7 @@
 
 def owner_index(running: World) -> int:
     name = running.nodes[0].fleet.zone_owner("z1", "model", clock.now())
-    return next(n for n, node in enumerate(running.nodes) if node.fleet.own_name == name)
+    return next(n for n, node in enumerate(running.nodes) if node.fleet.local_name == name)
 
 
 async def test_prompts_of_two_gateways_are_read_by_different_engines() -> None:
--- a/tests/platform/test_limit_news.py
+++ b/tests/platform/test_limit_news.py
@@ -48,7 +48,7 @@
 
 def owner_index(running: World) -> int:
     name = running.nodes[0].fleet.zone_owner("z1", "plain", clock.now())
-    return next(n for n, node in enumerate(running.nodes) if node.fleet.own_name == name)
+    return next(n for n, node in enumerate(running.nodes) if node.fleet.local_name == name)
 
 
 async def test_a_gateway_that_never_called_the_worker_receives_the_limit() -> None:
--- a/tests/platform/test_node_state.py
+++ b/tests/platform/test_node_state.py
@@ -24,7 +24,7 @@
 
 async def operators_page(running: World, path: str) -> str:
     assert running.session is not None
-    address = running.nodes[0].fleet.own_address
+    address = running.nodes[0].fleet.local_address
     async with running.session.get(f"http://{address}{path}") as response:
         assert response.status == 200
         return await response.text()
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -40,7 +40,7 @@
     """Wait until each gateway knows that the other one is serving."""
 
     def knows(one: Node, other: Node) -> bool:
-        member = one.fleet.member(other.fleet.own_name)
+        member = one.fleet.member(other.fleet.local_name)
         return member is not None and member.heartbeat.phase == Phase.SERVING
 
     await until(lambda: knows(first, second) and knows(second, first))
@@ -65,7 +65,7 @@
     record = first.mirror.workers.get(worker.worker_id)
     assert record is not None
     name = first.services.dispatch.owner_of(record, clock.now())
-    return next(node for node in running.nodes if node.fleet.own_name == name)
+    return next(node for node in running.nodes if node.fleet.local_name == name)
 
 
 async def call_through(running: World, number: int) -> int:
@@ -157,7 +157,7 @@
 
 def has_long_heartbeat_intervals(node: Node) -> bool:
     """Return whether every other gateway announced a long heartbeat interval to this one."""
-    members = node.fleet.live(clock.now())
+    members = node.fleet.live_members(clock.now())
     return bool(members) and all(
         item.heartbeat.interval > LONG_INTERVAL_SECONDS for item in members
     )
--- a/tests/platform/test_released_requests.py
+++ b/tests/platform/test_released_requests.py
@@ -21,7 +21,7 @@
     running: World, path: str, body: str | None = None
 ) -> tuple[int, str]:
     assert running.session is not None
-    url = f"http://{running.nodes[0].fleet.own_address}{path}"
+    url = f"http://{running.nodes[0].fleet.local_address}{path}"
     method = "GET" if body is None else "POST"
     async with running.session.request(method, url, data=body) as answer:
         return answer.status, await answer.text()
--- a/tests/platform/test_silent_peers.py
+++ b/tests/platform/test_silent_peers.py
@@ -93,9 +93,9 @@
         assert status == 200
         assert seconds < PEER_SILENCE_SECONDS + SLACK_SECONDS
         assert silences(running, "peer", 1 - owner) >= 1
-        member = caller.fleet.member(running.nodes[owner].fleet.own_name)
+        member = caller.fleet.member(running.nodes[owner].fleet.local_name)
         assert member is not None
-        assert not member.suspected(clock.now())
+        assert not member.is_suspected(clock.now())
 
 
 async def test_an_owner_that_works_for_long_is_not_treated_as_silent() -> None:
@@ -126,7 +126,7 @@
     served = {"w": (StandinWorker(), "plain")}
     document = configuration(1, [route("safe", "safe", "plain")])
     async with world(document, served) as running:
-        host, port = running.nodes[0].fleet.own_address.rsplit(":", 1)
+        host, port = running.nodes[0].fleet.local_address.rsplit(":", 1)
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"POST /peer/free HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
         async with asyncio.timeout(PEER_SILENCE_SECONDS + SLACK_SECONDS):
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -268,7 +268,7 @@
         node = running.nodes[0]
         stream = await running.call("/brief/x", headers=TOKENS)
         await stream.content.readany()
-        url = f"http://{node.fleet.own_address}{PIECES_PATH}"
+        url = f"http://{node.fleet.local_address}{PIECES_PATH}"
 
         async def ask(number: int) -> StageAnswer:
             async with peers.post(url, data=waiting_piece(encode, number)) as response:
@@ -297,7 +297,7 @@
         peer_of(running, loopback_address(2)) as second,
     ):
         first = running.nodes[0]
-        await until(lambda: len(first.fleet.live(clock.now())) == 1 and second.ready)
+        await until(lambda: len(first.fleet.live_members(clock.now())) == 1 and second.ready)
         first.stage_owner.refuse_pieces()
         second.stage_owner.refuse_pieces()
         response = await running.call("/staged/x", headers=PIECES)
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -191,7 +191,7 @@
 
 async def ask_for_workers(running: World, since: int) -> WorkersAnswer:
     assert running.session is not None
-    address = running.nodes[0].fleet.own_address
+    address = running.nodes[0].fleet.local_address
     question = msgspec.msgpack.encode(WorkersQuestion(since))
     async with running.session.post(f"http://{address}{WORKERS_PATH}", data=question) as response:
         return msgspec.msgpack.decode(await response.read(), type=WorkersAnswer)
--- a/tests/platform/test_store_watchers.py
+++ b/tests/platform/test_store_watchers.py
@@ -21,7 +21,7 @@
 
 
 def address(node: Node) -> str:
-    return node.fleet.own_address.rsplit(":", 1)[0]
+    return node.fleet.local_address.rsplit(":", 1)[0]
 
 
 @asynccontextmanager
@@ -34,7 +34,9 @@
         for number in range(2, MEMBERS + 1):
             await stack.enter_async_context(peer_of(running, loopback_address(number)))
         nodes = running.nodes
-        await until(lambda: all(len(node.fleet.live(clock.now())) == MEMBERS - 1 for node in nodes))
+        await until(
+            lambda: all(len(node.fleet.live_members(clock.now())) == MEMBERS - 1 for node in nodes)
+        )
         await until(lambda: sum(is_follower(node) for node in nodes) == LEAST_WATCHERS)
         yield running
 
--- a/tests/scheduling/fleet_play.py
+++ b/tests/scheduling/fleet_play.py
@@ -179,7 +179,7 @@
                 self._add_node(f"{zone}-{number}", zone, f"10.{zone_number}.0.{number + 1}")
         addresses = list(self.nodes)
         for item in self.nodes.values():
-            item.fleet.introduce(addresses, time.monotonic())
+            item.fleet.add_addresses(addresses, time.monotonic())
 
     def _add_node(self, name: str, zone: str, ip: str) -> None:
         process = NodeProcessSettings(
@@ -199,7 +199,7 @@
         created.mirror.adopt(self.scenario.configuration, "play")
         created.mirror.take_workers(self.scenario.workers, 1, "play")
         created.life.fire(ProcessTrigger.SERVE)
-        created.fleet.own_phase = Phase.SERVING
+        created.fleet.local_phase = Phase.SERVING
         self.nodes[process.peer_address] = created
 
     async def run(self) -> None:
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -151,7 +151,7 @@
         patch.setattr(
             fleet,
             name,
-            size_factor * members * fleet.FIRST_HEARTBEAT_BYTES / seconds,
+            size_factor * members * fleet.INITIAL_HEARTBEAT_BYTES / seconds,
             raising=False,
         )
 
--- a/tests/scheduling/test_clock_jumps.py
+++ b/tests/scheduling/test_clock_jumps.py
@@ -13,9 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from corkcrank.links.platform_ports import StoreTable
-from corkcrank.machines.fleet import PAUSE_SECONDS, Fleet
+from corkcrank.machines.fleet import MIN_PROCESS_PAUSE_SECONDS, Fleet
 from corkcrank.machines.heartbeat import Heartbeat, Phase
-from corkcrank.machines.members import SUSPECT_HEARTBEATS
+from corkcrank.machines.members import MAX_MISSED_HEARTBEATS
 from corkcrank.machines.store_contact import ReportedStoreContact
 from corkcrank.machines.store_followers import (
     LATER_STALE_FACTOR,
@@ -46,8 +46,8 @@
         super().__init__()
         self.now = 1_000.0
         self.fleet = Fleet("w", "zone", "10.0.0.9:1")
-        self.fleet.own_phase = Phase.SERVING
-        self.fleet.note_running(self.now)
+        self.fleet.local_phase = Phase.SERVING
+        self.fleet.record_running(self.now)
         self.election = StoreFollowerElection(self.fleet, BOUND_SECONDS)
         self.quarantine = RequestQuarantine()
         self.silence: dict[str, float] = {}
@@ -65,12 +65,12 @@
 
     @rule(seconds=st.floats(0.3, 120.0))
     def jump_clock(self, seconds: float) -> None:
-        self._advance_clock(seconds, counted=PAUSE_SECONDS)
+        self._advance_clock(seconds, counted=MIN_PROCESS_PAUSE_SECONDS)
 
     def _advance_clock(self, seconds: float, counted: float) -> None:
         self.now += seconds
         for name, silent in self.silence.items():
-            gone = silent > SUSPECT_HEARTBEATS * INTERVAL
+            gone = silent > MAX_MISSED_HEARTBEATS * INTERVAL
             self.silence[name] = silent + (seconds if gone else counted)
 
     @rule(name=st.sampled_from(MEMBERS), age=st.floats(0.0, 30.0))
@@ -91,7 +91,7 @@
             configuration_contact=contact,
             workers_contact=contact,
         )
-        self.fleet.hear(heartbeat, self.now)
+        self.fleet.apply_heartbeat(heartbeat, self.now)
         self.silence[name] = 0.0
         self.store_reported_at = max(self.store_reported_at, answered_at)
 
@@ -118,7 +118,7 @@
     @invariant()
     def store_contact_has_its_true_age(self) -> None:
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
-            assert self.fleet.confirmed_at(table) == pytest.approx(self.store_reported_at)
+            assert self.fleet.store_confirmed_at(table) == pytest.approx(self.store_reported_at)
             confirmed = max(self.store_reported_at, self.store_answered_at)
             stale = BOUND_SECONDS * STALE_SHARE * LATER_STALE_FACTOR
             if self.now - confirmed > stale + ROUNDING_SECONDS:
@@ -126,12 +126,12 @@
 
     @invariant()
     def a_local_pause_does_not_count_as_silence_of_others(self) -> None:
-        patience = SUSPECT_HEARTBEATS * INTERVAL
+        patience = MAX_MISSED_HEARTBEATS * INTERVAL
         # Two pauses without a check in between count as one.
-        self.fleet.live(self.now)
+        self.fleet.live_members(self.now)
         for name, silent in self.silence.items():
             if abs(silent - patience) > ROUNDING_SECONDS:
-                assert self.fleet.suspected(name, self.now) is (silent > patience)
+                assert self.fleet.is_suspected(name, self.now) is (silent > patience)
 
     @invariant()
     def a_quarantine_ends_on_time(self) -> None:
--- a/tests/scheduling/test_fleet.py
+++ b/tests/scheduling/test_fleet.py
@@ -6,7 +6,7 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.heartbeat import Heartbeat, Phase, ServiceBacklog
-from corkcrank.machines.members import SUSPECT_HEARTBEATS
+from corkcrank.machines.members import MAX_MISSED_HEARTBEATS
 from corkcrank.scheduling.fleet_retry_budget import FleetRetryBudget
 
 ZONES = ("a", "b", "c")
@@ -20,9 +20,9 @@
     fleets = []
     for number, zone in enumerate(zones):
         fleet = Fleet(str(number), zone, f"10.0.0.{number}:1")
-        fleet.own_phase = Phase.SERVING
+        fleet.local_phase = Phase.SERVING
         for other, other_zone in enumerate(zones):
-            fleet.hear(beat(str(other), other_zone), 0.0)
+            fleet.apply_heartbeat(beat(str(other), other_zone), 0.0)
         fleets.append(fleet)
     return fleets
 
@@ -47,89 +47,89 @@
 
 def test_silent_and_leaving_members_own_nothing() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.own_phase = Phase.SERVING
+    fleet.local_phase = Phase.SERVING
     worker = WorkerRecord("w", "s", "", "b")
-    fleet.hear(beat("1", "b"), 0.0)
+    fleet.apply_heartbeat(beat("1", "b"), 0.0)
     assert fleet.zone_owner(worker.zone, worker.worker_id, 0.5) == "1"
     assert fleet.zone_owner(worker.zone, worker.worker_id, 1.5) == "0"
-    fleet.hear(beat("1", "b", Phase.LEAVING), 1.6)
+    fleet.apply_heartbeat(beat("1", "b", Phase.LEAVING), 1.6)
     assert fleet.zone_owner(worker.zone, worker.worker_id, 1.6) == "0"
 
 
 def test_member_with_a_failed_connection_is_suspected_until_its_next_heartbeat() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.hear(beat("1", "a"), 5.0)
-    fleet.suspect("1")
-    assert fleet.live(5.01) == []
-    fleet.hear(beat("1", "a"), 5.2)
-    assert len(fleet.live(5.3)) == 1
+    fleet.apply_heartbeat(beat("1", "a"), 5.0)
+    fleet.mark_suspected("1")
+    assert fleet.live_members(5.01) == []
+    fleet.apply_heartbeat(beat("1", "a"), 5.2)
+    assert len(fleet.live_members(5.3)) == 1
 
 
 def fleet_that_ran_until(now: float) -> Fleet:
     """Return a fleet whose process ran and received heartbeats of one member until ``now``."""
     fleet = Fleet("0", "a", "10.0.0.0:1")
     for step in range(round(now / 0.1) + 1):
-        fleet.note_running(step * 0.1)
-        fleet.hear(beat("1", "a"), step * 0.1)
+        fleet.record_running(step * 0.1)
+        fleet.apply_heartbeat(beat("1", "a"), step * 0.1)
     return fleet
 
 
 def test_a_pause_of_this_process_makes_no_member_suspected() -> None:
     fleet = fleet_that_ran_until(2.0)
-    assert not fleet.suspected("1", 7.0)
-    assert len(fleet.live(7.0)) == 1
-    assert fleet.note_running(7.0) == 5.0
-    assert fleet.note_running(7.1) == 0.0
+    assert not fleet.is_suspected("1", 7.0)
+    assert len(fleet.live_members(7.0)) == 1
+    assert fleet.record_running(7.0) == 5.0
+    assert fleet.record_running(7.1) == 0.0
 
 
 def test_a_probe_does_not_time_out_during_a_pause_of_this_process() -> None:
     fleet = fleet_that_ran_until(2.0)
-    fleet.note_running(2.2)
-    fleet.note_running(2.4)
-    fleet.note_running(2.6)
-    fleet.note_running(2.7)
-    assert fleet.probe("1", 2.7) is not None
-    assert not fleet.suspected("1", 6.0)
+    fleet.record_running(2.2)
+    fleet.record_running(2.4)
+    fleet.record_running(2.6)
+    fleet.record_running(2.7)
+    assert fleet.address_to_probe("1", 2.7) is not None
+    assert not fleet.is_suspected("1", 6.0)
 
 
 def test_a_member_that_died_in_a_pause_of_this_process_is_suspected_soon_after() -> None:
     fleet = fleet_that_ran_until(2.0)
     now = 7.0
-    while not fleet.suspected("1", now):
+    while not fleet.is_suspected("1", now):
         now += 0.1
-        fleet.note_running(now)
+        fleet.record_running(now)
     assert now < 8.0
 
 
 def test_a_process_that_pauses_repeatedly_suspects_a_dead_member() -> None:
     fleet = fleet_that_ran_until(2.0)
     now, pauses = 2.0, 0
-    while not fleet.suspected("1", now):
+    while not fleet.is_suspected("1", now):
         now += 0.8
         pauses += 1
-        fleet.note_running(now)
-    assert pauses == SUSPECT_HEARTBEATS + 1
+        fleet.record_running(now)
+    assert pauses == MAX_MISSED_HEARTBEATS + 1
 
 
 def test_a_member_suspected_before_a_pause_stays_suspected() -> None:
     fleet = fleet_that_ran_until(2.0)
-    fleet.suspect("1")
-    assert fleet.suspected("1", 7.0)
-    assert fleet.suspected("2", 7.0)
+    fleet.mark_suspected("1")
+    assert fleet.is_suspected("1", 7.0)
+    assert fleet.is_suspected("2", 7.0)
 
 
 def test_heartbeats_go_to_a_silent_member_until_it_is_removed() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.hear(beat("1", "a"), 0.0)
-    assert fleet.audience(30.0) == ["10.0.0.1:1"]
-    assert fleet.audience(61.0) == []
+    fleet.apply_heartbeat(beat("1", "a"), 0.0)
+    assert fleet.heartbeat_addresses(30.0) == ["10.0.0.1:1"]
+    assert fleet.heartbeat_addresses(61.0) == []
 
 
 def test_restarted_member_counts_as_new() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    assert fleet.hear(beat("1", "a"), 0.0)
-    assert not fleet.hear(beat("1", "a"), 0.2)
-    assert fleet.hear(beat("1", "a", incarnation=2), 0.4)
+    assert fleet.apply_heartbeat(beat("1", "a"), 0.0)
+    assert not fleet.apply_heartbeat(beat("1", "a"), 0.2)
+    assert fleet.apply_heartbeat(beat("1", "a", incarnation=2), 0.4)
 
 
 def test_backlog_of_silent_members_is_not_counted() -> None:
@@ -137,7 +137,7 @@
     reported = Heartbeat(
         "1", 1, "a", "x", Phase.SERVING, 0.25, backlogs=(ServiceBacklog("s", (0, 1), 5),)
     )
-    fleet.hear(reported, 0.0)
+    fleet.apply_heartbeat(reported, 0.0)
     assert fleet.reported_backlog("s", (0, 1), 0.1) == 5
     assert fleet.reported_backlog("s", (0, 0), 0.1) == 0
     assert fleet.reported_backlog("s", (0, 1), 2.0) == 0
--- a/tests/scheduling/test_fleet_view.py
+++ b/tests/scheduling/test_fleet_view.py
@@ -58,17 +58,17 @@
 
 def apply_event(fleet: Fleet, kind: str, value: object, now: float) -> None:
     if isinstance(value, Heartbeat):
-        fleet.hear(value, now)
+        fleet.apply_heartbeat(value, now)
     elif isinstance(value, Phase):
-        fleet.own_phase = value
+        fleet.local_phase = value
     elif kind == "suspect":
-        fleet.suspect(str(value))
+        fleet.mark_suspected(str(value))
     elif kind == "probe":
-        fleet.probe(str(value), now)
+        fleet.address_to_probe(str(value), now)
     elif kind == "run":
-        fleet.note_running(now)
+        fleet.record_running(now)
     else:
-        fleet.audience(now)
+        fleet.heartbeat_addresses(now)
 
 
 @given(events=events)
@@ -80,13 +80,13 @@
     for pause, (kind, value) in events:
         now += pause
         apply_event(fleet, kind, value, now)
-        live = [fleet.member(name) for name in NAMES if not fleet.suspected(name, now)]
+        live = [fleet.member(name) for name in NAMES if not fleet.is_suspected(name, now)]
         beats = [member.heartbeat for member in live if member is not None]
-        assert {member.heartbeat.name for member in fleet.live(now)} == {
+        assert {member.heartbeat.name for member in fleet.live_members(now)} == {
             beat.name for beat in beats
         }
         serving = {beat.name for beat in beats if beat.phase == Phase.SERVING}
-        if fleet.own_phase == Phase.SERVING:
+        if fleet.local_phase == Phase.SERVING:
             serving.add("0")
         assert set(fleet.view(now).all_serving) == serving
         sums = BacklogSums()
@@ -98,7 +98,7 @@
                 abs(fleet.reported_rate_before("s", rank, now) - sums.rate_before("s", rank)) < 1e-6
             )
         versions = [beat.configuration_version for beat in beats]
-        ahead = fleet.ahead_in_configuration(2, now)
+        ahead = fleet.member_with_newer_configuration(2, now)
         highest = max(versions, default=0)
         assert (ahead.heartbeat.configuration_version if ahead else None) == (
             highest if highest > 2 else None
@@ -107,11 +107,11 @@
 
 def fleet_of(members: int) -> Fleet:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.own_phase = Phase.SERVING
+    fleet.local_phase = Phase.SERVING
     for number in range(1, members):
         zone = ZONES[number % 2]
         address = f"10.0.{number // 250}.{number % 250}:1"
-        fleet.hear(Heartbeat(str(number), 1, zone, address, Phase.SERVING, 2.0), 0.0)
+        fleet.apply_heartbeat(Heartbeat(str(number), 1, zone, address, Phase.SERVING, 2.0), 0.0)
     return fleet
 
 
@@ -137,8 +137,8 @@
             election.watches(StoreTable.WORKERS, 0.0, 1.0)
             fleet.zone_owner("a", "key", 1.0)
             fleet.reported_backlog("s", (0, 1), 1.0)
-            fleet.ahead_in_configuration(0, 1.0)
-            fleet.ahead_in_workers(0, 1.0)
+            fleet.member_with_newer_configuration(0, 1.0)
+            fleet.member_with_newer_workers(0, 1.0)
 
         work()
         return shortest_seconds(work)
@@ -148,30 +148,30 @@
 
 def test_strong_members_own_what_a_zone_shares() -> None:
     """In a zone of 3 machines of 2.15 processors and 27 of 0.52, only strong ones are owners."""
-    fleet = Fleet("0", "a", "10.0.0.0:1", own_strength=0.516)
-    fleet.own_phase = Phase.SERVING
+    fleet = Fleet("0", "a", "10.0.0.0:1", local_strength=0.516)
+    fleet.local_phase = Phase.SERVING
     for number in range(1, 30):
         strength = 2.15 if number <= 3 else 0.516
         name = str(number)
         beat = Heartbeat(name, 1, "a", f"10.0.0.{name}:1", Phase.SERVING, 2.0, strength=strength)
-        fleet.hear(beat, 0.0)
+        fleet.apply_heartbeat(beat, 0.0)
     owners = {fleet.zone_owner("a", f"service {key}", 1.0) for key in range(40)}
     assert owners == {"1", "2", "3"}
     for name in ("1", "2", "3"):
-        fleet.suspect(name)
+        fleet.mark_suspected(name)
     owners = {fleet.zone_owner("a", f"service {key}", 1.0) for key in range(40)}
     assert len(owners) > 10
 
 
 def test_members_of_unknown_or_similar_strength_share_ownership_evenly() -> None:
-    fleet = Fleet("0", "a", "10.0.0.0:1", own_strength=1.07)
-    fleet.own_phase = Phase.SERVING
+    fleet = Fleet("0", "a", "10.0.0.0:1", local_strength=1.07)
+    fleet.local_phase = Phase.SERVING
     for number in range(1, 6):
         name = str(number)
         beat = Heartbeat(
             name, 1, "a", f"10.0.0.{name}:1", Phase.SERVING, 0.25, strength=1.0 + number / 50
         )
-        fleet.hear(beat, 0.0)
+        fleet.apply_heartbeat(beat, 0.0)
     assert len({fleet.zone_owner("a", f"service {key}", 0.1) for key in range(60)}) == 6
 
 
@@ -180,7 +180,7 @@
 
     def read(members: int) -> float:
         fleet = fleet_of(members)
-        return (members - 1) * fleet.heartbeat_bytes / fleet.interval()
+        return (members - 1) * fleet.heartbeat_bytes / fleet.heartbeat_interval()
 
     assert read(101) == pytest.approx(25_000)
     assert read(401) == pytest.approx(6_250)
@@ -188,6 +188,6 @@
 
 def test_an_owner_sends_heartbeats_more_often() -> None:
     fleet = fleet_of(195)
-    usual_interval = fleet.interval()
-    fleet.owns = True
-    assert fleet.interval() < usual_interval / 4
+    usual_interval = fleet.heartbeat_interval()
+    fleet.is_owner = True
+    assert fleet.heartbeat_interval() < usual_interval / 4
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -44,9 +44,9 @@
     found = []
     for number, zone in enumerate(zones):
         fleet = Fleet(str(number), zone, f"10.0.0.{number}:1")
-        fleet.own_phase = Phase.SERVING
+        fleet.local_phase = Phase.SERVING
         for other, other_zone in enumerate(zones):
-            fleet.hear(heartbeat(str(other), other_zone, age), 10.0)
+            fleet.apply_heartbeat(heartbeat(str(other), other_zone, age), 10.0)
         found.append(StoreFollowerElection(fleet, BOUND))
     return found
 
@@ -69,15 +69,15 @@
 
 def test_a_gateway_without_a_reported_answer_follows_the_store() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.own_phase = Phase.SERVING
+    fleet.local_phase = Phase.SERVING
     assert StoreFollowerElection(fleet, BOUND).watches(StoreTable.CONFIGURATION, 0.0, 10.0)
 
 
 def test_the_long_poll_is_shorter_than_the_stale_time_and_that_than_the_bound() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
-    fleet.own_phase = Phase.STARTING
+    fleet.local_phase = Phase.STARTING
     election = StoreFollowerElection(fleet, BOUND)
-    fleet.hear(heartbeat("1", "a", 0.0), 10.0)
+    fleet.apply_heartbeat(heartbeat("1", "a", 0.0), 10.0)
     stale_after = next(
         after / 100
         for after in range(500)
