--- a/src/corkcrank/controller/program.py
+++ b/src/corkcrank/controller/program.py
@@ -74,9 +74,9 @@
     async def start(self) -> None:
         """Serve peers and operators, and begin to look after the zone."""
         application = web.Application(client_max_size=MAXIMUM_INTENT_BYTES)
-        PeerRoutes(self.agent, self.dump, self.holder.hear_heartbeat, self._links.traffic).add_to(
-            application
-        )
+        PeerRoutes(
+            self.agent, self.dump, self.holder.hear_heartbeat, self._links.traffic
+        ).register_routes(application)
         OperatorRoutes(self.planner, self.holder, self.agent).add_to(application)
         self._runner = await serve_application(application, self._settings.process.peer_address)
         self.life.fire(ProcessTrigger.SERVE)
--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -24,7 +24,7 @@
 from corkcrank.links.table import Committed, Condition, Conflicted, Row, Table, Unanswered, Write
 from corkcrank.machines.leases import Lease, LeaseRow, WriteLease, ZoneLease
 from corkcrank.machines.member import MemberAgent
-from corkcrank.machines.orders import orders_due
+from corkcrank.machines.orders import required_orders
 from corkcrank.zones.peer_messages import Enclosures, HeartbeatReply, KnownTables
 from corkcrank.zones.poll_shares import PollShares
 from corkcrank.zones.zone_state import ZoneState
@@ -153,7 +153,7 @@
         for zone, row in zip(zones, outcome.rows, strict=True):
             lease_row = _decode_lease(row)
             if zone == self.zone:
-                self.lease.see(lease_row, row.revision, now)
+                self.lease.record_row(lease_row, row.revision, now)
             elif lease_row is not None:
                 self._other_holders[zone] = lease_row
 
@@ -173,9 +173,9 @@
             case Committed(rows=rows):
                 if write.row.fence != self.lease.fence:
                     self._log.info("Lease taken.", zone=self.zone, fence=write.row.fence)
-                self.lease.written(write, rows[0].revision, sent_at)
+                self.lease.record_write(write, rows[0].revision, sent_at)
             case Conflicted(rows=rows):
-                self.lease.see(_decode_lease(rows[0]), rows[0].revision, clock.now())
+                self.lease.record_row(_decode_lease(rows[0]), rows[0].revision, clock.now())
             case Unanswered():
                 return
 
@@ -216,7 +216,7 @@
         index = self._agent.view.adoption.index
         if index is None or self._agent.view.adoption.wanted_version is not None:
             return
-        due = orders_due(
+        due = required_orders(
             index.configuration,
             self.state.workers_of_zone(),
             self.state.reports(),
--- a/src/corkcrank/gateway/program.py
+++ b/src/corkcrank/gateway/program.py
@@ -116,9 +116,9 @@
     async def start(self) -> None:
         """Serve peers and callers; without a caller address, peers only."""
         peer_application = web.Application(client_max_size=MAXIMUM_PEER_BYTES)
-        PeerRoutes(self.agent, self.dump, self.agent.answer_heartbeat, self._links.traffic).add_to(
-            peer_application
-        )
+        PeerRoutes(
+            self.agent, self.dump, self.agent.answer_heartbeat, self._links.traffic
+        ).register_routes(peer_application)
         process = self._settings.process
         self._peer_runner = await serve_application(peer_application, process.peer_address)
         if process.caller_address:
--- a/src/corkcrank/machines/entry_reader.py
+++ b/src/corkcrank/machines/entry_reader.py
@@ -12,10 +12,10 @@
 )
 from corkcrank.machines.worker_changes import WorkerChange
 
-MOST_KEPT = 100
+MAX_UNREADABLE_ENTRIES = 100
 """Maximum number of unreadable entries in a state dump: the newest ones."""
 
-NO_START = Unreadable("start is missing although the platform reports it for other workers")
+START_MISSING = Unreadable("start is missing although the platform reports it for other workers")
 
 
 class EntryReader:
@@ -30,7 +30,7 @@
         self._documents = documents
         self.on_unreadable = ignore_unreadable
         self.unreadable: dict[str, str] = {}
-        self._tells_start: dict[str, bool] = {}
+        self._has_start: dict[str, bool] = {}
 
     def changes(self, answer: StoreRows, since: int) -> list[WorkerChange]:
         """Return the changes in a store's answer that are newer than revision ``since``."""
@@ -39,40 +39,40 @@
         changes = []
         rows = [row for row in answer.rows if row.revision > since]
         records = [self._documents.worker(row) for row in rows]
-        self._note_starts(rows, records)
-        starts_expected = 2 * sum(self._tells_start.values()) > len(self._tells_start)
+        self._record_starts(rows, records)
+        starts_expected = 2 * sum(self._has_start.values()) > len(self._has_start)
         for row, found in zip(rows, records, strict=True):
             self.unreadable.pop(row.key, None)
             if isinstance(found, WorkerRecord) and starts_expected and found.born is None:
-                found = NO_START
+                found = START_MISSING
             if isinstance(found, Unreadable):
-                self._note(row.key, found)
+                self._record_unreadable(row.key, found)
                 found = None
             changes.append(WorkerChange(row.key, row.revision, found))
         return changes
 
-    def note_readable(self, name: str) -> None:
+    def record_readable(self, name: str) -> None:
         """Record that a peer has read a newer, valid entry of a worker."""
         self.unreadable.pop(name, None)
 
-    def keep_only(self, listed: AbstractSet[str]) -> None:
+    def retain_only(self, listed: AbstractSet[str]) -> None:
         """Remove the entries that are no longer in a whole list."""
         for name in self.unreadable.keys() - listed:
             del self.unreadable[name]
-        for name in self._tells_start.keys() - listed:
-            del self._tells_start[name]
+        for name in self._has_start.keys() - listed:
+            del self._has_start[name]
 
-    def _note_starts(
+    def _record_starts(
         self, rows: Sequence[StoreRow], records: Sequence[WorkerRecord | Unreadable | None]
     ) -> None:
         for row, found in zip(rows, records, strict=True):
             if isinstance(found, WorkerRecord):
-                self._tells_start[row.key] = found.born is not None
+                self._has_start[row.key] = found.born is not None
             else:
-                self._tells_start.pop(row.key, None)
+                self._has_start.pop(row.key, None)
 
-    def _note(self, key: str, found: Unreadable) -> None:
+    def _record_unreadable(self, key: str, found: Unreadable) -> None:
         self.unreadable[key] = found.reason
-        if len(self.unreadable) > MOST_KEPT:
+        if len(self.unreadable) > MAX_UNREADABLE_ENTRIES:
             del self.unreadable[next(iter(self.unreadable))]
         self.on_unreadable(UnreadableDocument(DocumentKind.ENTRY, key, found.reason))
--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -12,7 +12,7 @@
 from corkcrank.machines.fleet_view import FleetView
 from corkcrank.machines.heartbeat import Heartbeat, Phase
 from corkcrank.machines.members import REMOVE_AFTER_SECONDS, Member
-from corkcrank.machines.store_contact import StoreContact, newer_contact
+from corkcrank.machines.store_contact import StoreContact, merge_reported_contact
 
 HEARTBEAT_SECONDS = 0.25
 """Interval between heartbeats in a small fleet."""
@@ -130,7 +130,9 @@
         known = self._members.get(heartbeat.name)
         member = self._members[heartbeat.name] = Member(heartbeat, now)
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
-            contact = newer_contact(self.store_contact(table), member.store_contact(table), now)
+            contact = merge_reported_contact(
+                self.store_contact(table), member.store_contact(table), now
+            )
             self._store_contacts[table] = contact
         self._highest_version = max(self._highest_version, heartbeat.configuration_version)
         self._highest_revision = max(self._highest_revision, heartbeat.workers_revision)
@@ -178,7 +180,7 @@
 
     def store_confirmed_at(self, table: StoreTable) -> float:
         """Return when the store last answered another member about a table."""
-        return self.store_contact(table).heard_at
+        return self.store_contact(table).received_at
 
     def store_contact(self, table: StoreTable) -> StoreContact:
         """Return the newest answer of the store that another member reported."""
--- a/src/corkcrank/machines/lapsed_entries.py
+++ b/src/corkcrank/machines/lapsed_entries.py
@@ -7,7 +7,7 @@
 
 from corkcrank.machines.worker_changes import WorkerChange
 
-RETURN_SECONDS = 2.0
+REREGISTRATION_SECONDS = 2.0
 """Time after the store's return within which live workers write their entries again."""
 
 
@@ -16,14 +16,16 @@
 
     def __init__(self) -> None:
         self._returned_at = float("-inf")
-        self._held: dict[str, WorkerChange] = {}
-        self._whole_before: dict[str, int] = {}
+        self._deferred: dict[str, WorkerChange] = {}
+        self._complete_before: dict[str, int] = {}
 
-    def store_returned(self, now: float) -> None:
+    def record_store_return(self, now: float) -> None:
         """Record that the store answers again after an outage."""
         self._returned_at = now
 
-    def hold(self, change: WorkerChange, now: float, whole_before: int | None = None) -> bool:
+    def defer_removal(
+        self, change: WorkerChange, now: float, complete_before: int | None = None
+    ) -> bool:
         """Defer a removal right after the store's return; return whether it is deferred.
 
         A newer change of the same worker replaces it. ``whole_before`` is the revision up to
@@ -39,32 +41,32 @@
         >>> [change.name for change in lapsed.due(3.1)], lapsed.due(3.2)
         (['w'], [])
         """
-        self._held.pop(change.name, None)
-        deferred = change.record is None and now - self._returned_at < RETURN_SECONDS
+        self._deferred.pop(change.name, None)
+        deferred = change.record is None and now - self._returned_at < REREGISTRATION_SECONDS
         if deferred:
-            self._held[change.name] = change
-            before = change.revision - 1 if whole_before is None else whole_before
-            self._whole_before[change.name] = before
+            self._deferred[change.name] = change
+            before = change.revision - 1 if complete_before is None else complete_before
+            self._complete_before[change.name] = before
         return deferred
 
-    def forget(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Discard the deferred removal of a worker whose row exists but no longer names it."""
-        self._held.pop(name, None)
+        self._deferred.pop(name, None)
 
-    def due(self, now: float) -> list[WorkerChange]:
+    def pop_confirmed(self, now: float) -> list[WorkerChange]:
         """Remove and return the deferred removals that are confirmed."""
-        if now - self._returned_at < RETURN_SECONDS:
+        if now - self._returned_at < REREGISTRATION_SECONDS:
             return []
-        confirmed = list(self._held.values())
-        self._held.clear()
+        confirmed = list(self._deferred.values())
+        self._deferred.clear()
         return confirmed
 
-    def due_in(self, now: float) -> float | None:
+    def seconds_left(self, now: float) -> float | None:
         """Return the seconds until the removals are confirmed; ``None`` if none is deferred."""
-        if not self._held:
+        if not self._deferred:
             return None
-        return max(0.0, self._returned_at + RETURN_SECONDS - now)
+        return max(0.0, self._returned_at + REREGISTRATION_SECONDS - now)
 
-    def whole_up_to(self, revision: int) -> int:
+    def complete_up_to(self, revision: int) -> int:
         """Return the revision up to which a list without the deferred removals is complete."""
-        return min([revision, *(self._whole_before[name] for name in self._held)])
+        return min([revision, *(self._complete_before[name] for name in self._deferred)])
--- a/src/corkcrank/machines/leases.py
+++ b/src/corkcrank/machines/leases.py
@@ -15,10 +15,10 @@
 LEASE_SECONDS = 3.0
 """Duration of a lease."""
 
-RENEW_SECONDS = 1.0
+RENEWAL_INTERVAL_SECONDS = 1.0
 """Time between renewals."""
 
-LONGEST_FLIGHT_SECONDS = 1.0
+MAX_ORDER_FLIGHT_SECONDS = 1.0
 """Maximum transit time of an order; the next holder waits this long before it takes over."""
 
 
@@ -57,40 +57,40 @@
         self.row: LeaseRow | None = None
         self.revision = 0
         self.held_until = 0.0
-        self._seen_unchanged_since: float | None = None
+        self._unchanged_since: float | None = None
 
     def holds(self, now: float, margin: float = 0.0) -> bool:
         """Return whether this process holds the lease for at least ``margin`` more seconds."""
-        return self.row is not None and self._is_ours() and now + margin < self.held_until
+        return self.row is not None and self._is_local() and now + margin < self.held_until
 
     @property
     def fence(self) -> int:
         """Return the fence number of the row last read; zero if there was none."""
         return self.row.fence if self.row is not None else 0
 
-    def see(self, row: LeaseRow | None, revision: int, now: float) -> None:
+    def record_row(self, row: LeaseRow | None, revision: int, now: float) -> None:
         """Record the row as read from the table or returned with a conflict."""
         # The row may stem from a local renewal whose answer was lost. Its send time is no longer
         # known, so it does not extend the lease; the next renewal does.
-        if revision != self.revision or self._seen_unchanged_since is None:
-            self._seen_unchanged_since = now
+        if revision != self.revision or self._unchanged_since is None:
+            self._unchanged_since = now
         self.row = row
         self.revision = revision
 
     def next_write(self, now: float) -> WriteLease | None:
         """Return the renewal or takeover to write now, or ``None``."""
-        if self._seen_unchanged_since is None:
+        if self._unchanged_since is None:
             return None
         if self.row is None:
             return self._claim(fence=1)
-        if self._is_ours() and now < self.held_until:
+        if self._is_local() and now < self.held_until:
             return self._renewal()
         if not self.row.holder:
             return self._claim(fence=self.row.fence + 1)
         # The wait also applies to an expired local lease: orders under its fence may still be
         # in flight, sent by an earlier process of the same name.
-        quiet_since = max(self._seen_unchanged_since, self.held_until - LEASE_SECONDS)
-        if now - quiet_since < LEASE_SECONDS + LONGEST_FLIGHT_SECONDS:
+        quiet_since = max(self._unchanged_since, self.held_until - LEASE_SECONDS)
+        if now - quiet_since < LEASE_SECONDS + MAX_ORDER_FLIGHT_SECONDS:
             return None
         return self._claim(fence=self.row.fence + 1)
 
@@ -99,19 +99,19 @@
 
         Only for a holder that sends no more orders: the next holder does not wait.
         """
-        if self.row is None or not self._is_ours():
+        if self.row is None or not self._is_local():
             return None
         row = LeaseRow(MemberId(""), Address(""), self.row.fence, self.row.renewal + 1)
         return WriteLease(row, self.revision)
 
-    def written(self, write: WriteLease, revision: int, sent_at: float) -> None:
+    def record_write(self, write: WriteLease, revision: int, sent_at: float) -> None:
         """Record that the table committed ``write``, which was sent at ``sent_at``."""
         self.row = write.row
         self.revision = revision
         self.held_until = sent_at + LEASE_SECONDS
-        self._seen_unchanged_since = sent_at
+        self._unchanged_since = sent_at
 
-    def _is_ours(self) -> bool:
+    def _is_local(self) -> bool:
         return self.row is not None and self.row.holder == self.member
 
     def _claim(self, fence: int) -> WriteLease:
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -25,7 +25,7 @@
 from corkcrank.links.table import Row, Table, Unanswered
 from corkcrank.machines.leases import LeaseRow
 from corkcrank.machines.member_view import DIGEST_STALE_SECONDS, MemberView
-from corkcrank.machines.relay import ROOT, Relay
+from corkcrank.machines.relay import HOLDER_POSITION, DigestRelay
 from corkcrank.zones.digest import ZoneDigest
 from corkcrank.zones.peer_messages import (
     DigestReply,
@@ -67,7 +67,7 @@
         self._random = random.Random(settings.process.name)
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching = False
-        self._relay = Relay(settings.process.name, self.view, peers)
+        self._relay = DigestRelay(settings.process.name, self.view, peers)
         self._reported_holder = Address("")
         self._next_pull_at = clock.now() + DIGEST_STALE_SECONDS
         self._interval = SHORTEST_INTERVAL_SECONDS
@@ -189,7 +189,7 @@
         digest = decode_digest(data, self.view.tables)
         if digest.zone == self.view.zone and self.view.apply_digest(digest, clock.now()):
             self.on_digest(digest)
-            self._spawn(self._relay.pass_on(digest))
+            self._spawn(self._relay.forward_digest(digest))
         if self.view.adoption.wanted_version is not None:
             self._spawn(self.fetch_wanted_configuration(None))
         return DigestReply(
@@ -207,7 +207,7 @@
             self.on_digest(enclosed)
             # The holder also has a position in the tree. The members below that position get
             # the digest when it comes back to the holder.
-            self._spawn(self._relay.send_below(digest, ROOT))
+            self._spawn(self._relay.send_to_children(digest, HOLDER_POSITION))
 
     async def _pull_digest_if_stale(self) -> None:
         # A new member waits as well: the holder's next digest contains everything, unless
--- a/src/corkcrank/machines/orders.py
+++ b/src/corkcrank/machines/orders.py
@@ -12,7 +12,7 @@
 from corkcrank.contracts.messages import LoadReport, ModelOrder, WorkerEntry
 
 
-def orders_due(
+def required_orders(
     configuration: Configuration,
     workers: Iterable[WorkerEntry],
     reports: Iterable[LoadReport],
--- a/src/corkcrank/machines/store_contact.py
+++ b/src/corkcrank/machines/store_contact.py
@@ -22,14 +22,16 @@
     """An answer of the store, and its time of receipt on the local monotonic clock."""
 
     store_time: float = float("-inf")
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
 
-    def reported(self, now: float) -> ReportedStoreContact:
+    def to_report(self, now: float) -> ReportedStoreContact:
         """Return the contact as a report sent at ``now``."""
-        return ReportedStoreContact(self.store_time, now - self.heard_at)
+        return ReportedStoreContact(self.store_time, now - self.received_at)
 
 
-def newer_contact(known: StoreContact, reported: ReportedStoreContact, now: float) -> StoreContact:
+def merge_reported_contact(
+    known: StoreContact, reported: ReportedStoreContact, now: float
+) -> StoreContact:
     """Return the newer of the known contact and one that a peer reported.
 
     >>> known = newer_contact(StoreContact(), ReportedStoreContact(5.0, 0.2), now=10.0)
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -30,11 +30,11 @@
 from corkcrank.machines.warming_workers import WarmingWorkers
 from corkcrank.machines.worker_changes import RecentWorkerChanges, WorkerChange, WorkerChangeBatch
 
-NOT_FOLLOWING_SECONDS = 0.2
+FOLLOWER_CHECK_SECONDS = 0.2
 """Interval at which a gateway that does not follow the store checks whether it should: a tenth of
 an update bound of 2 s."""
 
-RETRY_JITTER = (0.5, 1.0)
+RETRY_PAUSE_JITTER = (0.5, 1.0)
 """Range of the random share of the maximum pause after a failed call: spreads the retries of the
 gateways."""
 
@@ -53,7 +53,7 @@
         self._store = store
         self._election = election
         self._documents = documents
-        self.entries = EntryReader(documents)
+        self.entry_reader = EntryReader(documents)
         self._log = log
         self._random = random_source
         self.configuration: OpaqueConfiguration | None = None
@@ -62,12 +62,12 @@
         self.workers_known = False
         self.evacuations = ZoneEvacuations()
         self.warming = WarmingWorkers()
-        self.heard_at: dict[StoreTable, float] = {}
-        self.contacts: dict[StoreTable, StoreContact] = {}
+        self.answered_at: dict[StoreTable, float] = {}
+        self.store_contacts: dict[StoreTable, StoreContact] = {}
         self.on_change: Callable[[], None] = lambda: None
         self.on_store_change: Callable[[], None] = lambda: None
         self._reachable: dict[StoreTable, bool] = {}
-        self.calls: dict[str, int] = {}
+        self.call_counts: dict[str, int] = {}
         self.recent_changes = RecentWorkerChanges()
         self._lapsed = LapsedEntries()
 
@@ -80,12 +80,12 @@
         """Return the profile of a service in the current configuration, or ``None``."""
         return self.configuration.service(service) if self.configuration is not None else None
 
-    def age(self, table: StoreTable, now: float) -> float:
+    def answer_age(self, table: StoreTable, now: float) -> float:
         """Return the seconds since the store's last answer about a table; infinite before it."""
-        answered_at = self.heard_at.get(table)
+        answered_at = self.answered_at.get(table)
         return now - answered_at if answered_at is not None else float("inf")
 
-    def adopt(self, configuration: OpaqueConfiguration, source: str) -> bool:
+    def adopt_configuration(self, configuration: OpaqueConfiguration, source: str) -> bool:
         """Adopt a configuration if it is newer; return whether it was adopted."""
         if configuration.version <= self.version:
             return False
@@ -102,7 +102,9 @@
         self.on_change()
         return True
 
-    def take_workers(self, records: tuple[WorkerRecord, ...], revision: int, source: str) -> None:
+    def apply_worker_list(
+        self, records: tuple[WorkerRecord, ...], revision: int, source: str
+    ) -> None:
         """Replace the list of workers, unless the new list is older or as old."""
         if self.workers_known and revision <= self.workers.revision:
             return
@@ -113,9 +115,9 @@
         for record in self.workers.records():
             if known.get(record.name) != record:
                 self.warming.record_entry(record, now)
-        self._note_list(source)
+        self._log_worker_list(source)
 
-    async def follow(self, table: StoreTable) -> None:
+    async def follow_table(self, table: StoreTable) -> None:
         """Follow one table until cancelled.
 
         After a failure the store is polled with a wait of zero: a long poll that is sent while
@@ -125,49 +127,49 @@
         failures = 0
         while True:
             if table is StoreTable.WORKERS:
-                self._take_lapsed()
+                self._apply_confirmed_removals()
             if cursor is None:
                 answer = await self._store.read(table)
             elif not self.is_follower(table):
                 failures = 0
-                await asyncio.sleep(NOT_FOLLOWING_SECONDS)
+                await asyncio.sleep(FOLLOWER_CHECK_SECONDS)
                 continue
             else:
-                wait = 0.0 if failures else self._watch_seconds(table)
+                wait = 0.0 if failures else self._long_poll_seconds(table)
                 answer = await self._store.watch(table, cursor, wait)
-            self._count(table, answer)
+            self._record_call(table, answer)
             if isinstance(answer, StoreFailure):
                 failures += 1
                 if answer.trouble is StoreTrouble.HISTORY_GONE:
                     cursor = None
                     failures = 0
-                await asyncio.sleep(self._pause(failures))
+                await asyncio.sleep(self._retry_pause(failures))
                 continue
             failures = 0
-            self.heard_at[table] = clock.now()
-            self.contacts[table] = StoreContact(answer.store_time, self.heard_at[table])
-            self._apply(table, answer, whole=cursor is None)
+            self.answered_at[table] = clock.now()
+            self.store_contacts[table] = StoreContact(answer.store_time, self.answered_at[table])
+            self._apply_answer(table, answer, whole=cursor is None)
             cursor = answer.revision
             if table is StoreTable.WORKERS and answer.rows:
-                await asyncio.sleep(self._election.gather_seconds)
+                await asyncio.sleep(self._election.change_batching_seconds)
 
     def is_follower(self, table: StoreTable) -> bool:
         """Return whether this gateway polls the store for a table."""
-        answered_at = self.heard_at.get(table, float("-inf"))
-        return self._election.watches(table, answered_at, clock.now())
+        answered_at = self.answered_at.get(table, float("-inf"))
+        return self._election.should_follow_table(table, answered_at, clock.now())
 
-    def _apply(self, table: StoreTable, answer: StoreRows, *, whole: bool) -> None:
+    def _apply_answer(self, table: StoreTable, answer: StoreRows, *, whole: bool) -> None:
         if table is StoreTable.CONFIGURATION:
             self._apply_evacuations(answer, whole=whole)
             self._apply_configuration(answer)
         else:
-            self._apply_workers(answer, whole=whole)
+            self._apply_worker_rows(answer, whole=whole)
 
     def _apply_configuration(self, answer: StoreRows) -> None:
         found = self._documents.configuration(answer.rows)
         if isinstance(found, str):
             self._log.write(LogEvent.CONFIGURATION_UNREADABLE, detail=found)
-        elif found is not None and self.adopt(found, "store"):
+        elif found is not None and self.adopt_configuration(found, "store"):
             self.on_store_change()
 
     def _apply_evacuations(self, answer: StoreRows, *, whole: bool) -> None:
@@ -177,17 +179,17 @@
         else:
             changed = self.evacuations.take(states)
         if changed:
-            self._put_evacuations_in_force(changed, "store")
+            self._apply_zone_changes(changed, "store")
             self.on_store_change()
 
-    def take_zone_states(self, states: tuple[ZoneState, ...], source: str) -> bool:
+    def apply_zone_states(self, states: tuple[ZoneState, ...], source: str) -> bool:
         """Apply zone states reported by a peer; return whether any state changed."""
         changed = self.evacuations.take(states)
         if changed:
-            self._put_evacuations_in_force(changed, source)
+            self._apply_zone_changes(changed, source)
         return bool(changed)
 
-    def _put_evacuations_in_force(self, changed: tuple[ZoneState, ...], source: str) -> None:
+    def _apply_zone_changes(self, changed: tuple[ZoneState, ...], source: str) -> None:
         now = clock.now()
         self.workers.evacuated = self.evacuations.evacuated
         for state in changed:
@@ -203,12 +205,12 @@
             )
         self.on_change()
 
-    def _watch_seconds(self, table: StoreTable) -> float:
-        max_wait = self._election.watch_seconds
-        remaining = self._lapsed.due_in(clock.now()) if table is StoreTable.WORKERS else None
+    def _long_poll_seconds(self, table: StoreTable) -> float:
+        max_wait = self._election.long_poll_seconds
+        remaining = self._lapsed.seconds_left(clock.now()) if table is StoreTable.WORKERS else None
         return max_wait if remaining is None else min(max_wait, remaining)
 
-    def _apply_workers(self, answer: StoreRows, *, whole: bool) -> None:
+    def _apply_worker_rows(self, answer: StoreRows, *, whole: bool) -> None:
         """Apply rows of the store, and queue them for the reports to peers.
 
         A whole list does not contain the rows that were removed earlier. Its batch therefore
@@ -216,34 +218,34 @@
         removed workers permanently.
         """
         now = clock.now()
-        changes = self.entries.changes(answer, self.workers.revision)
+        changes = self.entry_reader.changes(answer, self.workers.revision)
         if whole:
             self.workers_known = True
             listed = {row.key for row in answer.rows}
-            self.entries.keep_only(listed)
+            self.entry_reader.retain_only(listed)
             changes += [
                 WorkerChange(record.name, answer.revision, None)
                 for record in self.workers.records()
                 if record.name not in listed
             ]
         known = self.workers.revision if whole else None
-        applied = [change for change in changes if not self._held_back(change, now, known)]
+        applied = [change for change in changes if not self._defer_lapsed(change, now, known)]
         newest = max((change.revision for change in changes), default=0)
-        revision = self._lapsed.whole_up_to(answer.revision if whole else newest)
+        revision = self._lapsed.complete_up_to(answer.revision if whole else newest)
         since = revision if whole else self.workers.revision
-        self._take_from_store(WorkerChangeBatch(since, revision, tuple(applied)), now)
+        self._apply_store_changes(WorkerChangeBatch(since, revision, tuple(applied)), now)
         if whole:
             self.workers.whole_up_to(revision)
             self.workers.forget_changes_before(answer.revision)
-            self._note_list("store")
+            self._log_worker_list("store")
 
-    def _take_from_store(self, batch: WorkerChangeBatch, now: float) -> None:
+    def _apply_store_changes(self, batch: WorkerChangeBatch, now: float) -> None:
         if batch.changes:
-            self.recent_changes.add(batch, now)
-        if self.take_changes(batch, "store"):
+            self.recent_changes.add_batch(batch, now)
+        if self.apply_worker_changes(batch, "store"):
             self.on_store_change()
 
-    def _held_back(self, change: WorkerChange, now: float, whole_before: int | None) -> bool:
+    def _defer_lapsed(self, change: WorkerChange, now: float, complete_before: int | None) -> bool:
         """Return whether a removal is deferred because only the worker's entry may have lapsed.
 
         An entry that exists but names no worker has not lapsed: some writer replaced it.
@@ -251,26 +253,26 @@
         known = self.workers.named(change.name)
         if change.record is None and (known is None or known.leaving):
             return False
-        if change.name in self.entries.unreadable:
-            self._lapsed.forget(change.name)
+        if change.name in self.entry_reader.unreadable:
+            self._lapsed.discard(change.name)
             return False
-        deferred = self._lapsed.hold(change, now, whole_before)
+        deferred = self._lapsed.defer_removal(change, now, complete_before)
         if deferred:
             self._log.write(LogEvent.WORKER_LAPSED, worker=change.name, revision=change.revision)
         return deferred
 
-    def _take_lapsed(self) -> None:
+    def _apply_confirmed_removals(self) -> None:
         """Apply the deferred removals that are confirmed: the worker did not register again."""
         now = clock.now()
-        confirmed = self._lapsed.due(now)
+        confirmed = self._lapsed.pop_confirmed(now)
         if confirmed:
             newest = max(change.revision for change in confirmed)
             known = self.workers.revision
-            self._take_from_store(
+            self._apply_store_changes(
                 WorkerChangeBatch(known, max(newest, known), tuple(confirmed)), now
             )
 
-    def _note_list(self, source: str) -> None:
+    def _log_worker_list(self, source: str) -> None:
         records = self.workers.records()
         self._log.write(
             LogEvent.WORKERS_TAKEN,
@@ -281,7 +283,7 @@
         )
         self.on_change()
 
-    def take_changes(self, batch: WorkerChangeBatch, source: str) -> bool:
+    def apply_worker_changes(self, batch: WorkerChangeBatch, source: str) -> bool:
         """Apply changed rows; return whether the list of workers changed.
 
         The list is then complete up to the batch's revision if no earlier change was missed, but
@@ -294,11 +296,11 @@
             if self.workers.apply_row(change.name, change.record, change.revision)
         ]
         if self.workers_known and self.workers.revision >= batch.since:
-            self.workers.whole_up_to(self._lapsed.whole_up_to(batch.revision))
+            self.workers.whole_up_to(self._lapsed.complete_up_to(batch.revision))
         now = clock.now()
         for change in applied:
             if change.record is not None:
-                self.entries.note_readable(change.name)
+                self.entry_reader.record_readable(change.name)
                 self.warming.record_entry(change.record, now)
             self._log_change(change, source)
         if applied:
@@ -326,20 +328,20 @@
             source=source,
         )
 
-    def _count(self, table: StoreTable, answer: StoreRows | StoreFailure) -> None:
+    def _record_call(self, table: StoreTable, answer: StoreRows | StoreFailure) -> None:
         reachable = isinstance(answer, StoreRows)
         detail = "answered" if isinstance(answer, StoreRows) else answer.trouble.value
         key = f"{table}:{detail}"
-        self.calls[key] = self.calls.get(key, 0) + 1
+        self.call_counts[key] = self.call_counts.get(key, 0) + 1
         gone = isinstance(answer, StoreFailure) and answer.trouble is StoreTrouble.HISTORY_GONE
         if gone or self._reachable.get(table) == reachable:
             return
         if table is StoreTable.WORKERS and self._reachable.get(table) is False:
-            self._lapsed.store_returned(clock.now())
+            self._lapsed.record_store_return(clock.now())
         self._reachable[table] = reachable
         event = LogEvent.STORE_REGAINED if reachable else LogEvent.STORE_LOST
         self._log.write(event, table=table.value, detail=detail)
 
-    def _pause(self, failures: int) -> float:
-        max_pause = self._election.retry_seconds(failures, clock.now())
-        return max_pause * self._random.uniform(*RETRY_JITTER)
+    def _retry_pause(self, failures: int) -> float:
+        max_pause = self._election.max_retry_pause_seconds(failures, clock.now())
+        return max_pause * self._random.uniform(*RETRY_PAUSE_JITTER)
--- a/src/corkcrank/machines/worker_changes.py
+++ b/src/corkcrank/machines/worker_changes.py
@@ -10,10 +10,10 @@
 
 from corkcrank.contracts.worker_records import WorkerRecord
 
-TOLD_SECONDS = 1.5
+REPORT_SECONDS = 1.5
 """Time for which a change is reported: a few heartbeats, since datagrams can be lost."""
 
-MOST_TOLD = 20
+MAX_CHANGES_PER_HEARTBEAT = 20
 """Maximum number of changes in a heartbeat, the newest; a peer that misses more asks for
 the list."""
 
@@ -40,11 +40,11 @@
     def __init__(self) -> None:
         self._batches: deque[tuple[float, WorkerChangeBatch]] = deque()
 
-    def add(self, batch: WorkerChangeBatch, now: float) -> None:
+    def add_batch(self, batch: WorkerChangeBatch, now: float) -> None:
         """Add a batch of changes to report."""
         self._batches.append((now, batch))
 
-    def current(self, now: float) -> WorkerChangeBatch | None:
+    def current_batch(self, now: float) -> WorkerChangeBatch | None:
         """Return the changes to report now: the newest contiguous batches that fit.
 
         Changes that this gateway received in a whole list are in no batch.
@@ -57,14 +57,14 @@
         >>> recent.current(2.0).since, recent.current(9.0)
         (5, None)
         """
-        while self._batches and now - self._batches[0][0] > TOLD_SECONDS:
+        while self._batches and now - self._batches[0][0] > REPORT_SECONDS:
             self._batches.popleft()
         reported: list[WorkerChangeBatch] = []
         count = 0
         for _, batch in reversed(self._batches):
             count += len(batch.changes)
             gap = bool(reported) and batch.revision < reported[0].since
-            if count > MOST_TOLD or gap:
+            if count > MAX_CHANGES_PER_HEARTBEAT or gap:
                 break
             reported.insert(0, batch)
         if not reported:
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -198,7 +198,7 @@
             configuration_contact=self._store_contact(StoreTable.CONFIGURATION, now),
             workers_revision=self._mirror.workers.revision,
             workers_contact=self._store_contact(StoreTable.WORKERS, now),
-            worker_changes=self._mirror.recent_changes.current(now),
+            worker_changes=self._mirror.recent_changes.current_batch(now),
             stage_loads=self._stage_owner.loads(now),
             call_loads=tuple(calls[:MAXIMUM_CALL_LOADS]),
             backlogs=tuple(
@@ -223,8 +223,8 @@
 
     def _store_contact(self, table: StoreTable, now: float) -> ReportedStoreContact:
         """Return the newest contact with the store, this member's or one reported by a peer."""
-        own = self._mirror.contacts.get(table, StoreContact())
-        return newest_contact(own, self._fleet.store_contact(table)).reported(now)
+        own = self._mirror.store_contacts.get(table, StoreContact())
+        return newest_contact(own, self._fleet.store_contact(table)).to_report(now)
 
     def _receive(self, data: bytes) -> None:
         heartbeat = decode_heartbeat(data)
@@ -244,7 +244,7 @@
             )
         if heartbeat.worker_changes is not None:
             self._apply_worker_changes(heartbeat.worker_changes, heartbeat.name, now)
-        if self._mirror.take_zone_states(heartbeat.zone_states, f"peer {heartbeat.name}"):
+        if self._mirror.apply_zone_states(heartbeat.zone_states, f"peer {heartbeat.name}"):
             self.pass_on_soon()
         self._loads.apply_peer_report(heartbeat.name, heartbeat.call_loads)
         self._forecast_bias.apply_peer_report(heartbeat.name, heartbeat.forecast_ratios, now)
@@ -263,11 +263,11 @@
             self._crash_watch.record_member_unreachable(before.heartbeat.name, before.received_at)
 
     def _apply_worker_changes(self, batch: WorkerChangeBatch, name: str, now: float) -> None:
-        if not self._mirror.take_changes(batch, f"peer {name}"):
+        if not self._mirror.apply_worker_changes(batch, f"peer {name}"):
             return
         # Incomplete changes are not forwarded: the next member may take them as all changes.
         if self._mirror.workers.revision >= batch.revision:
-            self._mirror.recent_changes.add(batch, now)
+            self._mirror.recent_changes.add_batch(batch, now)
             self.pass_on_soon()
 
     def _apply_prefix(self, prefix: SentPrefix, now: float) -> None:
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -92,7 +92,9 @@
             self._record_failure(member, answer)
             return
         if answer.configuration is not None:
-            adopted = self._mirror.adopt(answer.configuration, f"peer {member.heartbeat.name}")
+            adopted = self._mirror.adopt_configuration(
+                answer.configuration, f"peer {member.heartbeat.name}"
+            )
             if adopted:
                 self.on_adopted()
 
@@ -109,9 +111,9 @@
             return
         source = f"peer {member.heartbeat.name}"
         if answer.changes is not None:
-            self._mirror.take_changes(answer.changes, source)
+            self._mirror.apply_worker_changes(answer.changes, source)
         else:
-            self._mirror.take_workers(answer.records, answer.revision, source)
+            self._mirror.apply_worker_list(answer.records, answer.revision, source)
 
     async def _pull_crashes(self, now: float) -> None:
         """Request all crash reports from the first live members.
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -102,7 +102,7 @@
         while self._fleet.local_phase != Phase.SERVING:
             await asyncio.sleep(READ_DELAY_SECONDS)
         await asyncio.sleep(READ_DELAY_SECONDS)
-        if self._election.follows(clock.now()):
+        if self._election.is_elected_follower(clock.now()):
             await self._read()
         while True:
             await asyncio.sleep(WRITE_SECONDS if await self._write() else RETRY_SECONDS)
@@ -157,11 +157,11 @@
     def _rows_to_write(self) -> list[tuple[str, _QuarantineRow]]:
         """Return the rows that this gateway owns and that differ from those in the store."""
         now = clock.now()
-        own = self._mirror.contacts.get(StoreTable.WORKERS, StoreContact())
+        own = self._mirror.store_contacts.get(StoreTable.WORKERS, StoreContact())
         contact = newest_contact(own, self._fleet.store_contact(StoreTable.WORKERS))
-        if contact.heard_at == float("-inf"):
+        if contact.received_at == float("-inf"):
             return []
-        offset = contact.store_time - contact.heard_at
+        offset = contact.store_time - contact.received_at
         rows = [
             (request, self._row(request, offset))
             for request in self._quarantine.blamed_requests(now)
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -80,7 +80,7 @@
         silence = SilenceLog(log, metrics)
         ports.store.on_silence = silence.note
         unreadable = UnreadableLog(log, metrics)
-        self.mirror.entries.on_unreadable = unreadable.note
+        self.mirror.entry_reader.on_unreadable = unreadable.note
         self._client = WorkerClient(silence.note)
         self._peers = PeerClient(silence.note)
         self._statements = WorkerStatements(ports.statements, log, metrics)
@@ -224,8 +224,8 @@
         )
         await self.callers.start(process.caller_address)
         self._loops = [
-            self._spawn(self.mirror.follow(StoreTable.CONFIGURATION)),
-            self._spawn(self.mirror.follow(StoreTable.WORKERS)),
+            self._spawn(self.mirror.follow_table(StoreTable.CONFIGURATION)),
+            self._spawn(self.mirror.follow_table(StoreTable.WORKERS)),
             self._spawn(self.heartbeats.note_running()),
             self._spawn(self.heartbeats.beat()),
             self._spawn(self.heartbeats.tell()),
--- a/src/corkcrank/node/process/state_collector.py
+++ b/src/corkcrank/node/process/state_collector.py
@@ -44,7 +44,7 @@
         family = CounterMetricFamily(
             "corkcrank_store_calls", "Calls to the store.", labels=("table", "answer")
         )
-        for key, count in self._services.mirror.calls.items():
+        for key, count in self._services.mirror.call_counts.items():
             table, _, answer = key.partition(":")
             family.add_metric((table, answer), count)
         return family
@@ -56,7 +56,7 @@
             labels=("table",),
         )
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
-            age = self._services.mirror.age(table, now)
+            age = self._services.mirror.answer_age(table, now)
             reported_age = now - self._services.fleet.store_confirmed_at(table)
             family.add_metric((table.value,), min(age, reported_age))
         return family
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -112,19 +112,19 @@
         name=services.fleet.local_name,
         state=state,
         configuration_version=mirror.version,
-        configuration_age=mirror.age(StoreTable.CONFIGURATION, now),
+        configuration_age=mirror.answer_age(StoreTable.CONFIGURATION, now),
         workers_revision=mirror.workers.revision,
         evacuated_zones=tuple(sorted(mirror.workers.evacuated)),
         in_flight=in_flight,
         routes=_routes(services),
         workers=_workers(services, now),
-        unreadable_entries=dict(mirror.entries.unreadable),
+        unreadable_entries=dict(mirror.entry_reader.unreadable),
         queues=_queues(stage_owner),
         requests=_requests(services.crash_watch.quarantine, now),
         members=_members(services, now),
         refusals=services.metrics.refusals_by_cause(),
         repeats_left=services.repeats_left(now),
-        store_calls=dict(mirror.calls),
+        store_calls=dict(mirror.call_counts),
     )
 
 
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -15,7 +15,11 @@
     decode_heartbeat,
     encode_heartbeat,
 )
-from corkcrank.machines.worker_changes import MOST_TOLD, WorkerChange, WorkerChangeBatch
+from corkcrank.machines.worker_changes import (
+    MAX_CHANGES_PER_HEARTBEAT,
+    WorkerChange,
+    WorkerChangeBatch,
+)
 from corkcrank.scheduling.crash_reports import CrashReport, RequestAtCrash, Trial, TrialReport
 from corkcrank.scheduling.stated_limits import MAX_REPORTED_LIMITS, ReportedLimit
 
@@ -53,7 +57,7 @@
     queues=st.integers(0, 120),
     calls=st.integers(0, 600),
     prefixes=st.integers(0, 60),
-    changes=st.integers(0, MOST_TOLD),
+    changes=st.integers(0, MAX_CHANGES_PER_HEARTBEAT),
 )
 def test_a_heartbeat_fits_a_datagram_at_any_load(
     queues: int, calls: int, prefixes: int, changes: int
@@ -67,11 +71,11 @@
 
 
 def test_calls_are_left_out_before_the_loads_that_owners_report() -> None:
-    decoded = decode_heartbeat(encode_heartbeat(heartbeat(20, 900, 24, MOST_TOLD)))
+    decoded = decode_heartbeat(encode_heartbeat(heartbeat(20, 900, 24, MAX_CHANGES_PER_HEARTBEAT)))
     assert decoded is not None
     assert len(decoded.stage_loads) == 20
     assert decoded.worker_changes is not None
-    assert len(decoded.worker_changes.changes) == MOST_TOLD
+    assert len(decoded.worker_changes.changes) == MAX_CHANGES_PER_HEARTBEAT
     assert 0 < len(decoded.call_loads) < 900
     assert min(load.in_flight for load in decoded.call_loads) > 1
 
--- a/tests/core/test_leases_and_orders.py
+++ b/tests/core/test_leases_and_orders.py
@@ -16,7 +16,7 @@
 from corkcrank.contracts.messages import LoadReport, WorkerEntry
 from corkcrank.links.back_ends import ORDER_SECONDS
 from corkcrank.machines.leases import Lease, LeaseRow, WriteLease
-from corkcrank.machines.orders import orders_due
+from corkcrank.machines.orders import required_orders
 
 MEMBERS = 3
 STEPS = 250
@@ -82,7 +82,7 @@
             return
         clock = self.now + member.clock_offset
         if self.source.random() < 0.8:
-            member.lease.see(self.row, self.revision, clock)
+            member.lease.record_row(self.row, self.revision, clock)
         write = member.lease.next_write(clock)
         if write is not None:
             self.write(member, write, clock)
@@ -93,13 +93,13 @@
         if fate < 0.1:
             return
         if write.expected_revision != self.revision:
-            member.lease.see(self.row, self.revision, sent_at)
+            member.lease.record_row(self.row, self.revision, sent_at)
             return
         self.row, self.revision = write.row, self.revision + 1
         if fate < 0.2:
             return
         # The answer may be read late, so the lease counts from the time before the send.
-        member.lease.written(write, self.revision, sent_at)
+        member.lease.record_write(write, self.revision, sent_at)
 
     def order(self, member: Member) -> None:
         clock = self.now + member.clock_offset
@@ -150,7 +150,7 @@
 
 def test_a_released_lease_is_claimed_at_once_with_a_higher_fence() -> None:
     lease = Lease("zone", MemberId("next"), Address(""))
-    lease.see(LeaseRow(MemberId(""), Address(""), fence=4, renewal=9), revision=7, now=0.0)
+    lease.record_row(LeaseRow(MemberId(""), Address(""), fence=4, renewal=9), revision=7, now=0.0)
     write = lease.next_write(0.0)
     assert write is not None
     assert (write.row.fence, write.expected_revision) == (5, 7)
@@ -166,7 +166,7 @@
         LoadReport(WorkerId("x"), False, 0, 0, 8, models=("m2", "m1")),
         LoadReport(WorkerId("y"), False, 0, 0, 8, models=("m1",)),
     ]
-    orders = orders_due(configuration, workers, reports, fence=3)
+    orders = required_orders(configuration, workers, reports, fence=3)
     assert [(order.worker, order.fence, order.models) for order in orders] == [
         ("y", 3, ("m1", "m2"))
     ]
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -100,7 +100,7 @@
         store.silent = True
         store.put("op", "config", configuration(2, MORE))
         lost = running.nodes[0].mirror
-        await until(lambda: any("silent" in key for key in lost.calls))
+        await until(lambda: any("silent" in key for key in lost.call_counts))
         store.silent = False
         asked = len(store.calls)
         async with asyncio.timeout(2.5):
@@ -113,11 +113,11 @@
     mirror = running.nodes[0].mirror
     running.store.refused.add(loopback_address(1))
     running.store.forget_history()
-    await until(lambda: mirror.calls.get("workers:refused", 0) > 0)
+    await until(lambda: mirror.call_counts.get("workers:refused", 0) > 0)
     running.store.remove("servers", worker.worker_id)
-    answered = mirror.calls["workers:answered"]
+    answered = mirror.call_counts["workers:answered"]
     running.store.refused.clear()
-    await until(lambda: mirror.calls["workers:answered"] > answered)
+    await until(lambda: mirror.call_counts["workers:answered"] > answered)
 
 
 async def test_a_worker_whose_entry_lapsed_in_an_outage_stays_in_use() -> None:
@@ -162,7 +162,7 @@
         first = running.nodes[0]
         running.store.refused.add(loopback_address(1))
         running.store.forget_history()
-        await until(lambda: first.mirror.calls.get("workers:refused", 0) > 0)
+        await until(lambda: first.mirror.call_counts.get("workers:refused", 0) > 0)
         running.store.remove("servers", one.worker_id)
         running.store.put("servers", two.worker_id, two.entry("plain"))
         async with peer_of(running, loopback_address(2)):
@@ -202,10 +202,10 @@
     worker = StandinWorker()
     async with world(configuration(1, ROUTES), {"one": (worker, "plain")}) as running:
         store, mirror = running.store, running.nodes[0].mirror
-        before = mirror.calls["workers:answered"]
+        before = mirror.call_counts["workers:answered"]
         for number in range(40):
             store.put("servers", worker.worker_id, worker.entry("plain") | {"sequence": number})
             await asyncio.sleep(0.01)
         newest = store.revision
         await until(lambda: mirror.workers.revision >= newest)
-        assert mirror.calls["workers:answered"] - before <= 12
+        assert mirror.call_counts["workers:answered"] - before <= 12
--- a/tests/platform/test_store_watchers.py
+++ b/tests/platform/test_store_watchers.py
@@ -9,11 +9,11 @@
 from corkcrank.contracts import clock
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.load.loopback import loopback_address
-from corkcrank.machines.store_followers import LEAST_WATCHERS
+from corkcrank.machines.store_followers import MIN_FOLLOWERS
 from corkcrank.node.process.node import Node
 
 ROUTES = [route("safe", "safe", "plain")]
-MEMBERS = LEAST_WATCHERS + 3
+MEMBERS = MIN_FOLLOWERS + 3
 
 
 def is_follower(node: Node) -> bool:
@@ -37,7 +37,7 @@
         await until(
             lambda: all(len(node.fleet.live_members(clock.now())) == MEMBERS - 1 for node in nodes)
         )
-        await until(lambda: sum(is_follower(node) for node in nodes) == LEAST_WATCHERS)
+        await until(lambda: sum(is_follower(node) for node in nodes) == MIN_FOLLOWERS)
         yield running
 
 
@@ -48,7 +48,7 @@
         running.store.put("servers", worker.worker_id, worker.entry("plain", state="draining"))
         await until(lambda: all(node.mirror.version == 2 for node in running.nodes))
         await until(lambda: not any(node.mirror.workers.usable("plain") for node in running.nodes))
-        assert sum(is_follower(node) for node in running.nodes) == LEAST_WATCHERS
+        assert sum(is_follower(node) for node in running.nodes) == MIN_FOLLOWERS
 
 
 async def test_other_gateways_follow_the_store_when_it_refuses_all_followers() -> None:
--- a/tests/platform/test_worker_entries.py
+++ b/tests/platform/test_worker_entries.py
@@ -221,11 +221,11 @@
         mirror = running.nodes[0].mirror
         running.store.refused.add(loopback_address(1))
         running.store.forget_history()
-        await until(lambda: mirror.calls.get("workers:refused", 0) > 0)
+        await until(lambda: mirror.call_counts.get("workers:refused", 0) > 0)
         running.store.put("servers", one.worker_id, b"\xff")
-        answered = mirror.calls["workers:answered"]
+        answered = mirror.call_counts["workers:answered"]
         running.store.refused.clear()
-        await until(lambda: mirror.calls["workers:answered"] > answered)
+        await until(lambda: mirror.call_counts["workers:answered"] > answered)
         assert [worker.name for worker in mirror.workers.records()] == [two.worker_id]
 
 
--- a/tests/scheduling/fleet_play.py
+++ b/tests/scheduling/fleet_play.py
@@ -196,8 +196,8 @@
         ports = PlatformPorts(nothing, statements, nothing, nothing, nothing, "/")
         seed = self.random.random()
         created = node.Node(settings, ports, DecisionLog(None, name), random.Random(seed))
-        created.mirror.adopt(self.scenario.configuration, "play")
-        created.mirror.take_workers(self.scenario.workers, 1, "play")
+        created.mirror.adopt_configuration(self.scenario.configuration, "play")
+        created.mirror.apply_worker_list(self.scenario.workers, 1, "play")
         created.life.fire(ProcessTrigger.SERVE)
         created.fleet.local_phase = Phase.SERVING
         self.nodes[process.peer_address] = created
--- a/tests/scheduling/test_clock_jumps.py
+++ b/tests/scheduling/test_clock_jumps.py
@@ -18,7 +18,7 @@
 from corkcrank.machines.members import MAX_MISSED_HEARTBEATS
 from corkcrank.machines.store_contact import ReportedStoreContact
 from corkcrank.machines.store_followers import (
-    LATER_STALE_FACTOR,
+    LATE_STAND_IN_STALE_FACTOR,
     STALE_SHARE,
     StoreFollowerElection,
 )
@@ -57,7 +57,7 @@
         self.known_at: dict[str, float] = {}
         for name in MEMBERS:
             self.receive_heartbeat(name, 0.0)
-        assert not self.election.follows(self.now)
+        assert not self.election.is_elected_follower(self.now)
 
     @rule(seconds=st.floats(0.01, 0.24))
     def step_clock(self, seconds: float) -> None:
@@ -120,9 +120,9 @@
         for table in (StoreTable.CONFIGURATION, StoreTable.WORKERS):
             assert self.fleet.store_confirmed_at(table) == pytest.approx(self.store_reported_at)
             confirmed = max(self.store_reported_at, self.store_answered_at)
-            stale = BOUND_SECONDS * STALE_SHARE * LATER_STALE_FACTOR
+            stale = BOUND_SECONDS * STALE_SHARE * LATE_STAND_IN_STALE_FACTOR
             if self.now - confirmed > stale + ROUNDING_SECONDS:
-                assert self.election.watches(table, self.store_answered_at, self.now)
+                assert self.election.should_follow_table(table, self.store_answered_at, self.now)
 
     @invariant()
     def a_local_pause_does_not_count_as_silence_of_others(self) -> None:
--- a/tests/scheduling/test_entry_reader.py
+++ b/tests/scheduling/test_entry_reader.py
@@ -38,5 +38,5 @@
     reader = EntryReader(PlatformDocumentCodec())
     assert named(reader, 0, row("a", 1, born=17), row("x", 2, born=18)) == ["a", "x"]
     assert named(reader, 2, row("b", 3)) == []
-    reader.keep_only({"b"})
+    reader.retain_only({"b"})
     assert named(reader, 3, row("c", 4)) == ["c"]
--- a/tests/scheduling/test_fleet_at_size.py
+++ b/tests/scheduling/test_fleet_at_size.py
@@ -91,13 +91,13 @@
     hops: list[tuple[int, int, float]],
 ) -> None:
     fleets = [Fleet(str(number), "a", f"10.0.0.{number}:1") for number in range(6)]
-    own = {0: StoreContact(store_time=50.0, heard_at=0.0)}
+    own = {0: StoreContact(store_time=50.0, received_at=0.0)}
     now, longest = 0.0, 0.0
     for sender, receiver, delay in hops:
         contact = newest_contact(
             own.get(sender, StoreContact()), fleets[sender].store_contact(TABLE)
         )
-        reported = contact.reported(now)
+        reported = contact.to_report(now)
         now += delay
         longest = max(longest, delay)
         fleets[receiver].apply_heartbeat(
--- a/tests/scheduling/test_fleet_view.py
+++ b/tests/scheduling/test_fleet_view.py
@@ -134,7 +134,7 @@
         election = StoreFollowerElection(fleet, 2.0)
 
         def work() -> None:
-            election.watches(StoreTable.WORKERS, 0.0, 1.0)
+            election.should_follow_table(StoreTable.WORKERS, 0.0, 1.0)
             fleet.zone_owner("a", "key", 1.0)
             fleet.reported_backlog("s", (0, 1), 1.0)
             fleet.member_with_newer_configuration(0, 1.0)
--- a/tests/scheduling/test_held_removals.py
+++ b/tests/scheduling/test_held_removals.py
@@ -19,7 +19,7 @@
 from corkcrank.links.platform_ports import StoreRow, StoreRows, StoreTable
 from corkcrank.machines import store_mirror
 from corkcrank.machines.fleet import Fleet
-from corkcrank.machines.lapsed_entries import RETURN_SECONDS
+from corkcrank.machines.lapsed_entries import REREGISTRATION_SECONDS
 from corkcrank.machines.store_followers import StoreFollowerElection
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.machines.worker_changes import WorkerChange, WorkerChangeBatch
@@ -47,18 +47,20 @@
     monkeypatch: pytest.MonkeyPatch, reported_at: int
 ) -> None:
     mirror, clock = create_mirror(monkeypatch)
-    mirror._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 20), whole=True)
-    mirror._lapsed.store_returned(clock.now)
-    mirror._apply(StoreTable.WORKERS, StoreRows((row("b", 12),), 35), whole=True)
+    mirror._apply_answer(
+        StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 20), whole=True
+    )
+    mirror._lapsed.record_store_return(clock.now)
+    mirror._apply_answer(StoreTable.WORKERS, StoreRows((row("b", 12),), 35), whole=True)
     assert [record.name for record in mirror.workers.records()] == ["a", "b"]
     another = WorkerRecord("c", "s", "10.0.0.2:80", "a", revision=reported_at, born=18)
     update = WorkerChangeBatch(34, reported_at, (WorkerChange("c", reported_at, another),))
-    assert mirror.take_changes(update, "peer")
-    clock.now += RETURN_SECONDS
-    mirror._take_lapsed()
+    assert mirror.apply_worker_changes(update, "peer")
+    clock.now += REREGISTRATION_SECONDS
+    mirror._apply_confirmed_removals()
     assert [record.name for record in mirror.workers.records()] == ["b", "c"]
     # The peer's update stays recorded: none of its changes is applied twice.
-    assert not mirror.take_changes(update, "peer")
+    assert not mirror.apply_worker_changes(update, "peer")
 
 
 def test_a_list_with_a_deferred_removal_is_not_complete_up_to_the_removal(
@@ -73,16 +75,20 @@
     peer stands between "held back" and the confirmation of the removal.
     """
     peer, clock = create_mirror(monkeypatch)
-    peer._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 50), whole=True)
-    peer._lapsed.store_returned(clock.now)
-    peer._apply(StoreTable.WORKERS, StoreRows((row("b", 12),), 53), whole=True)
+    peer._apply_answer(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 50), whole=True)
+    peer._lapsed.record_store_return(clock.now)
+    peer._apply_answer(StoreTable.WORKERS, StoreRows((row("b", 12),), 53), whole=True)
 
     gateway, gateway_clock = create_mirror(monkeypatch)
-    gateway._apply(StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 51), whole=True)
-    gateway._lapsed.store_returned(gateway_clock.now)
-    gateway._apply(StoreTable.WORKERS, StoreRows((StoreRow("a", None, 52),), 52), whole=False)
-    gateway.take_workers(peer.workers.records(), peer.workers.revision, "peer")
+    gateway._apply_answer(
+        StoreTable.WORKERS, StoreRows((row("a", 11), row("b", 12)), 51), whole=True
+    )
+    gateway._lapsed.record_store_return(gateway_clock.now)
+    gateway._apply_answer(
+        StoreTable.WORKERS, StoreRows((StoreRow("a", None, 52),), 52), whole=False
+    )
+    gateway.apply_worker_list(peer.workers.records(), peer.workers.revision, "peer")
 
-    gateway_clock.now += RETURN_SECONDS
-    gateway._take_lapsed()
+    gateway_clock.now += REREGISTRATION_SECONDS
+    gateway._apply_confirmed_removals()
     assert [record.name for record in gateway.workers.records()] == ["b"]
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -10,13 +10,13 @@
 from corkcrank.machines.heartbeat import Heartbeat, Phase
 from corkcrank.machines.store_contact import ReportedStoreContact
 from corkcrank.machines.store_followers import (
-    LEAST_WATCHERS,
-    RETRY_SECONDS,
-    STAND_IN_CALLS_PER_SECOND,
+    MIN_FOLLOWERS,
+    RETRY_PAUSE_RANGE_SECONDS,
+    MAX_STAND_IN_CALLS_PER_SECOND,
     StoreFollowerElection,
 )
 from corkcrank.machines.worker_changes import (
-    MOST_TOLD,
+    MAX_CHANGES_PER_HEARTBEAT,
     RecentWorkerChanges,
     WorkerChange,
     WorkerChangeBatch,
@@ -56,21 +56,23 @@
     following = [
         zone
         for zone, election in zip(zones, elections(zones, age=0.1), strict=True)
-        if election.watches(StoreTable.WORKERS, 0.0, 10.1)
+        if election.should_follow_table(StoreTable.WORKERS, 0.0, 10.1)
     ]
     assert set(following) == set(zones)
-    assert len(following) == min(len(zones), max(LEAST_WATCHERS, len(set(zones))))
+    assert len(following) == min(len(zones), max(MIN_FOLLOWERS, len(set(zones))))
 
 
 def test_all_gateways_follow_the_store_before_the_bound_when_none_has_an_answer() -> None:
     found = elections(["a"] * 20, age=BOUND)
-    assert all(election.watches(StoreTable.WORKERS, 0.0, 10.1) for election in found)
+    assert all(election.should_follow_table(StoreTable.WORKERS, 0.0, 10.1) for election in found)
 
 
 def test_a_gateway_without_a_reported_answer_follows_the_store() -> None:
     fleet = Fleet("0", "a", "10.0.0.0:1")
     fleet.local_phase = Phase.SERVING
-    assert StoreFollowerElection(fleet, BOUND).watches(StoreTable.CONFIGURATION, 0.0, 10.0)
+    assert StoreFollowerElection(fleet, BOUND).should_follow_table(
+        StoreTable.CONFIGURATION, 0.0, 10.0
+    )
 
 
 def test_the_long_poll_is_shorter_than_the_stale_time_and_that_than_the_bound() -> None:
@@ -81,9 +83,9 @@
     stale_after = next(
         after / 100
         for after in range(500)
-        if election.watches(StoreTable.WORKERS, 0.0, 10.0 + after / 100)
+        if election.should_follow_table(StoreTable.WORKERS, 0.0, 10.0 + after / 100)
     )
-    assert election.watch_seconds < stale_after < BOUND
+    assert election.long_poll_seconds < stale_after < BOUND
 
 
 @pytest.mark.parametrize("members", [6, 74, 195, 350])
@@ -91,19 +93,27 @@
     """In an outage of a few seconds a fleet of 195 made 11,709 calls, most calls of its day."""
     zones = [ZONES[number % len(ZONES)] for number in range(members)]
     found = elections(zones, age=9.0)
-    followers = [election for election in found if election.watches(StoreTable.WORKERS, 10.0, 10.1)]
-    pauses = [election.retry_seconds(4, 10.1) for election in found]
+    followers = [
+        election
+        for election in found
+        if election.should_follow_table(StoreTable.WORKERS, 10.0, 10.1)
+    ]
+    pauses = [election.max_retry_pause_seconds(4, 10.1) for election in found]
     # An answer is stale after 0.6 of the bound: no gateway waits longer before it asks.
     assert max(pauses) <= 0.6 * BOUND or members == 6
     calls = sum(1 / pause for pause in pauses)
-    allowed = max(STAND_IN_CALLS_PER_SECOND, members / (0.6 * BOUND))
-    assert calls <= allowed + len(followers) / RETRY_SECONDS[1]
-    assert calls <= 0.75 * members / RETRY_SECONDS[1] or members == 6
+    allowed = max(MAX_STAND_IN_CALLS_PER_SECOND, members / (0.6 * BOUND))
+    assert calls <= allowed + len(followers) / RETRY_PAUSE_RANGE_SECONDS[1]
+    assert calls <= 0.75 * members / RETRY_PAUSE_RANGE_SECONDS[1] or members == 6
 
 
 def test_a_small_fleet_retries_soon() -> None:
     for election in elections(["a"] * 6, age=9.0):
-        assert [election.retry_seconds(failures, 10.1) for failures in (1, 2, 9)] == [0.2, 0.4, 0.8]
+        assert [election.max_retry_pause_seconds(failures, 10.1) for failures in (1, 2, 9)] == [
+            0.2,
+            0.4,
+            0.8,
+        ]
 
 
 def record(worker_id: str, revision: int, *, leaving: bool = False) -> WorkerRecord:
@@ -150,20 +160,20 @@
 
 def test_the_newest_changes_that_fit_are_reported_without_a_gap() -> None:
     recent = RecentWorkerChanges()
-    for number in range(MOST_TOLD + 5):
+    for number in range(MAX_CHANGES_PER_HEARTBEAT + 5):
         change = WorkerChange(str(number), number + 1, None)
-        recent.add(WorkerChangeBatch(number, number + 1, (change,)), 1.0)
-    reported = recent.current(1.1)
+        recent.add_batch(WorkerChangeBatch(number, number + 1, (change,)), 1.0)
+    reported = recent.current_batch(1.1)
     assert reported is not None
-    assert len(reported.changes) == MOST_TOLD
-    assert (reported.since, reported.revision) == (5, MOST_TOLD + 5)
+    assert len(reported.changes) == MAX_CHANGES_PER_HEARTBEAT
+    assert (reported.since, reported.revision) == (5, MAX_CHANGES_PER_HEARTBEAT + 5)
 
 
 def test_a_batch_does_not_cover_changes_received_in_a_whole_list() -> None:
     recent = RecentWorkerChanges()
-    recent.add(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
+    recent.add_batch(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
     # Between the two batches, the gateway adopted a whole list of revision 9.
-    recent.add(WorkerChangeBatch(9, 12, (WorkerChange("c", 12, None),)), 0.1)
-    batch = recent.current(0.2)
+    recent.add_batch(WorkerChangeBatch(9, 12, (WorkerChange("c", 12, None),)), 0.1)
+    batch = recent.current_batch(0.2)
     assert batch is not None
     assert (batch.since, batch.revision) == (9, 12)
