--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -14,7 +14,7 @@
 from corkcrank.machines.owner_use import OwnerUse
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.node.limits.worker_limits import WorkerLimits
-from corkcrank.node.peers.peer_client import PeerClient, PeerTrouble, read_answer
+from corkcrank.node.peers.peer_client import PeerClient, PeerFailure, decode_answer
 from corkcrank.node.peers.peer_protocol import (
     PREFILL_DONE_PATH,
     PREFILL_REQUEST_PATH,
@@ -30,7 +30,7 @@
 from corkcrank.scheduling.stated_limits import ReportedLimit
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-GRANT_SECONDS = 0.15
+GRANT_TIMEOUT_SECONDS = 0.15
 """Timeout for the owner's reply; without a reply the engine chosen before is used."""
 
 
@@ -59,7 +59,7 @@
         self.use = OwnerUse()
         """When this node last received a request for a grant."""
 
-    def grant(self, request: PrefillRequest) -> PrefillGrant:
+    def grant_request(self, request: PrefillRequest) -> PrefillGrant:
         """Choose the engine of a zone that reads a prompt next.
 
         A rate-limited engine never gets more than its limit, even if it is preferred: a zone
@@ -92,7 +92,7 @@
         self._limits.record_grant(engine, now)
         return PrefillGrant(engine.worker_id)
 
-    def done(self, message: PrefillDone) -> None:
+    def release_grant(self, message: PrefillDone) -> None:
         """Release the grant of a prompt that was read, or that will not be read."""
         granted = self._grants.release_grant(message.call_id)
         if granted is not None and message.read:
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrefillTurn:
+class PrefillVerdict:
     """The engine that reads a call's prompt, or after how many seconds one may be available."""
 
     engine: WorkerRecord | None
@@ -131,11 +131,13 @@
         self._engine_owner = engine_owner
         self._peers = peers
         self._log = log
-        self._tasks: set[asyncio.Task[bytes | PeerTrouble]] = set()
+        self._tasks: set[asyncio.Task[bytes | PeerFailure]] = set()
         self._owners: dict[str, str] = {}
         self.on_silence: Callable[[str], None] = lambda owner: None
 
-    async def take(self, call: OpaqueCall, chosen: WorkerRecord, *, long: bool) -> PrefillTurn:
+    async def request_grant(
+        self, call: OpaqueCall, chosen: WorkerRecord, *, long: bool
+    ) -> PrefillVerdict:
         """Request a grant in the chosen engine's zone; return the engine to send the call to.
 
         The chosen engine is used if the owner does not reply or names an engine that cannot be
@@ -167,12 +169,12 @@
             limited=grant is not None and grant.limited,
         )
         if engine is not None and self._mirror.workers.accepts_work(engine):
-            return PrefillTurn(engine)
+            return PrefillVerdict(engine)
         if grant is not None and grant.limited:
-            return PrefillTurn(None, grant.wait)
-        return PrefillTurn(self.take_ungranted(chosen), GRANT_SECONDS)
+            return PrefillVerdict(None, grant.wait)
+        return PrefillVerdict(self.use_without_grant(chosen), GRANT_TIMEOUT_SECONDS)
 
-    def take_ungranted(self, engine: WorkerRecord) -> WorkerRecord | None:
+    def use_without_grant(self, engine: WorkerRecord) -> WorkerRecord | None:
         """Record a send to an engine without a grant; return None if its limit forbids it now."""
         now = clock.now()
         if not self._limits.may_send(engine, now):
@@ -190,7 +192,7 @@
             now, {engine.worker_id for engine in engines}
         )
 
-    def done(self, call: OpaqueCall, *, read: bool = False) -> None:
+    def report_prefill_done(self, call: OpaqueCall, *, read: bool = False) -> None:
         """Report to the owner, once, that a call's prompt was read or will not be."""
         owner = self._owners.pop(call.call_id, None)
         if owner is None:
@@ -198,11 +200,15 @@
         message = PrefillDone(call.call_id, call.service, read)
         member = self._fleet.member(owner)
         if owner == self._fleet.local_name or member is None:
-            self._engine_owner.done(message)
+            self._engine_owner.release_grant(message)
             return
         data = msgspec.msgpack.encode(message)
-        sending = self._peers.ask(
-            member.heartbeat.address, PREFILL_DONE_PATH, data, seconds=GRANT_SECONDS, repeat=True
+        sending = self._peers.request(
+            member.heartbeat.address,
+            PREFILL_DONE_PATH,
+            data,
+            timeout_seconds=GRANT_TIMEOUT_SECONDS,
+            retry_on_silence=True,
         )
         task = asyncio.create_task(sending)
         self._tasks.add(task)
@@ -212,13 +218,16 @@
         self._owners[request.call_id] = owner
         member = self._fleet.member(owner)
         if owner == self._fleet.local_name or member is None:
-            return self._engine_owner.grant(request)
+            return self._engine_owner.grant_request(request)
         data = msgspec.msgpack.encode(request)
-        body = await self._peers.ask(
-            member.heartbeat.address, PREFILL_REQUEST_PATH, data, seconds=GRANT_SECONDS
+        body = await self._peers.request(
+            member.heartbeat.address,
+            PREFILL_REQUEST_PATH,
+            data,
+            timeout_seconds=GRANT_TIMEOUT_SECONDS,
         )
-        grant = read_answer(body, PrefillGrant)
-        if isinstance(grant, PeerTrouble):
+        grant = decode_answer(body, PrefillGrant)
+        if isinstance(grant, PeerFailure):
             self.on_silence(owner)
             return None
         return grant
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -12,7 +12,7 @@
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.node.limits.worker_limits import WorkerLimits
-from corkcrank.node.peers.peer_client import PeerClient, PeerTrouble, read_answer
+from corkcrank.node.peers.peer_client import PeerClient, PeerFailure, decode_answer
 from corkcrank.node.peers.peer_protocol import LIMIT_GRANT_PATH, LimitGrant, LimitGrantRequest
 from corkcrank.node.workers.worker_statements import WorkerStatements
 from corkcrank.scheduling.return_times import ReturnTimes
@@ -145,9 +145,11 @@
             return self._owner.grant_request(request)
         data = msgspec.msgpack.encode(request)
         address = member.heartbeat.address
-        body = await self._peers.ask(address, LIMIT_GRANT_PATH, data, seconds=GRANT_TIMEOUT_SECONDS)
-        grant = read_answer(body, LimitGrant)
-        if isinstance(grant, PeerTrouble):
+        body = await self._peers.request(
+            address, LIMIT_GRANT_PATH, data, timeout_seconds=GRANT_TIMEOUT_SECONDS
+        )
+        grant = decode_answer(body, LimitGrant)
+        if isinstance(grant, PeerFailure):
             self.on_silence(owner)
             return None
         return grant
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -32,28 +32,28 @@
 INCARNATION_BITS = 32
 """Size of the random number that distinguishes a process from its predecessor at its address."""
 
-BEAT_SPREAD = (0.9, 1.1)
+HEARTBEAT_JITTER = (0.9, 1.1)
 """Bounds of the random factor of the heartbeat interval: keeps members from synchronizing."""
 
-URGENT_SPREAD_SECONDS = 0.1
+MIN_URGENT_SPREAD_SECONDS = 0.1
 """Minimum time over which the start or stop of this gateway is sent to the whole fleet."""
 
-URGENT_BYTES_A_SECOND = 100_000.0
+MAX_URGENT_BYTES_PER_SECOND = 100_000.0
 """Maximum send rate for a start or stop: the links of small machines are slow."""
 
-NEWS_MEMBERS = 8
+UPDATE_FANOUT = 8
 """Members to which each member forwards an update that is new to it."""
 
-NEWS_BYTES_A_SECOND = 12_000.0
+MAX_UPDATE_BYTES_PER_SECOND = 12_000.0
 """Maximum send rate for forwarded updates; updates that arrive meanwhile are sent together."""
 
-NEWS_PAUSE_SECONDS = 0.05
+MIN_UPDATE_INTERVAL_SECONDS = 0.05
 """Minimum time between two forwardings."""
 
-LEAST_SUSPENSION_SECONDS = RUN_RECORD_SECONDS
+MIN_SUSPENSION_SECONDS = RUN_RECORD_SECONDS
 """Smaller differences between the two clocks from one check to the next are ignored."""
 
-MAXIMUM_CALL_LOADS = 128
+MAX_CALL_LOADS = 128
 """Workers whose calls in flight one heartbeat reports."""
 
 
@@ -96,7 +96,7 @@
         self._loads = PeerLoads(worker_statistics)
         self._incarnation = random_source.getrandbits(INCARNATION_BITS)
         self._link = DatagramLink(self._receive)
-        self.on_behind: Callable[[], None] = lambda: None
+        self.on_newer_configuration: Callable[[], None] = lambda: None
         self._urgent_requested = asyncio.Event()
         self.on_suspended: Callable[[float], None] = lambda seconds: None
         self._forwarding_requested = asyncio.Event()
@@ -109,7 +109,7 @@
         """Stop sending and receiving."""
         self._link.close()
 
-    async def beat(self) -> None:
+    async def send_loop(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
             now = clock.now()
@@ -117,11 +117,11 @@
                 now
             ) or self._engine_owner.use.used_recently(now)
             audience = self._fleet.heartbeat_addresses(now)
-            seconds = self._fleet.heartbeat_interval() * self._random.uniform(*BEAT_SPREAD)
+            seconds = self._fleet.heartbeat_interval() * self._random.uniform(*HEARTBEAT_JITTER)
             await send_spread(self._link, self._encode_heartbeat, audience, seconds)
             self._discard_suspected_peers()
 
-    async def note_running(self) -> None:
+    async def watch_pauses(self) -> None:
         """Record periodically that this process runs, to detect its own pauses and suspensions."""
         meter = clock.SuspensionMeter()
         while True:
@@ -129,29 +129,29 @@
             if paused:
                 self._log.write(LogEvent.PROCESS_PAUSED, seconds=round(paused, 3))
             suspended = meter.measure()
-            if suspended > LEAST_SUSPENSION_SECONDS:
+            if suspended > MIN_SUSPENSION_SECONDS:
                 self.on_suspended(suspended)
             await asyncio.sleep(RUN_RECORD_SECONDS)
 
-    def tell_soon(self) -> None:
+    def request_urgent_send(self) -> None:
         """Request an immediate heartbeat to all members, beside the scheduled ones."""
         self._urgent_requested.set()
 
-    async def tell(self) -> None:
+    async def send_urgent_heartbeats(self) -> None:
         """Send the requested immediate heartbeats to all members, until cancelled."""
         while True:
             await self._urgent_requested.wait()
             self._urgent_requested.clear()
             audience = self._fleet.heartbeat_addresses(clock.now())
             total_bytes = len(audience) * self._fleet.heartbeat_bytes
-            seconds = max(URGENT_SPREAD_SECONDS, total_bytes / URGENT_BYTES_A_SECOND)
+            seconds = max(MIN_URGENT_SPREAD_SECONDS, total_bytes / MAX_URGENT_BYTES_PER_SECOND)
             await send_spread(self._link, self._encode_heartbeat, audience, seconds)
 
-    def pass_on_soon(self) -> None:
+    def request_forwarding(self) -> None:
         """Request that an update is sent to some members, which forward it to others."""
         self._forwarding_requested.set()
 
-    async def pass_on(self) -> None:
+    async def forward_updates(self) -> None:
         """Forward updates until cancelled, within a limit on the send rate.
 
         A member that receives an update for the first time forwards it to a few random others.
@@ -162,14 +162,14 @@
             await self._forwarding_requested.wait()
             self._forwarding_requested.clear()
             audience = self._fleet.heartbeat_addresses(clock.now())
-            chosen = self._random.sample(audience, min(NEWS_MEMBERS, len(audience)))
+            chosen = self._random.sample(audience, min(UPDATE_FANOUT, len(audience)))
             data = self._encode_heartbeat()
             for address in chosen:
                 self._link.send(data, address)
-            send_seconds = len(chosen) * len(data) / NEWS_BYTES_A_SECOND
-            await asyncio.sleep(max(NEWS_PAUSE_SECONDS, send_seconds))
+            send_seconds = len(chosen) * len(data) / MAX_UPDATE_BYTES_PER_SECOND
+            await asyncio.sleep(max(MIN_UPDATE_INTERVAL_SECONDS, send_seconds))
 
-    def probe(self, name: str) -> None:
+    def probe_member(self, name: str) -> None:
         """Send a probe to a member that this one waits for, unless it sent something just now."""
         address = self._fleet.address_to_probe(name, clock.now())
         if address is not None:
@@ -200,7 +200,7 @@
             workers_contact=self._store_contact(StoreTable.WORKERS, now),
             worker_changes=self._mirror.recent_changes.current_batch(now),
             stage_loads=self._stage_owner.loads(now),
-            call_loads=tuple(calls[:MAXIMUM_CALL_LOADS]),
+            call_loads=tuple(calls[:MAX_CALL_LOADS]),
             backlogs=tuple(
                 ServiceBacklog(service, rank, pieces, rate)
                 for service, rank, pieces, rate in self._stage_owner.backlog.counts_with_rates(now)
@@ -245,7 +245,7 @@
         if heartbeat.worker_changes is not None:
             self._apply_worker_changes(heartbeat.worker_changes, heartbeat.name, now)
         if self._mirror.apply_zone_states(heartbeat.zone_states, f"peer {heartbeat.name}"):
-            self.pass_on_soon()
+            self.request_forwarding()
         self._loads.apply_peer_report(heartbeat.name, heartbeat.call_loads)
         self._forecast_bias.apply_peer_report(heartbeat.name, heartbeat.forecast_ratios, now)
         self._health.apply_peer_report(heartbeat.name, heartbeat.zone, heartbeat.outcomes)
@@ -253,7 +253,7 @@
         self._crash_watch.apply_reports(heartbeat.crashes, heartbeat.name)
         self._statements.apply_reports(heartbeat.limits, heartbeat.name)
         if heartbeat.configuration_version > self._mirror.version:
-            self.on_behind()
+            self.on_newer_configuration()
         for prefix in heartbeat.prefixes:
             self._apply_prefix(prefix, now)
 
@@ -268,7 +268,7 @@
         # Incomplete changes are not forwarded: the next member may take them as all changes.
         if self._mirror.workers.revision >= batch.revision:
             self._mirror.recent_changes.add_batch(batch, now)
-            self.pass_on_soon()
+            self.request_forwarding()
 
     def _apply_prefix(self, prefix: SentPrefix, now: float) -> None:
         worker = self._mirror.workers.get(prefix.worker_id)
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -12,7 +12,7 @@
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.members import Member
 from corkcrank.machines.store_mirror import StoreMirror
-from corkcrank.node.peers.peer_client import PeerClient, PeerTrouble, read_answer
+from corkcrank.node.peers.peer_client import PeerClient, PeerFailure, decode_answer
 from corkcrank.node.peers.peer_protocol import (
     CONFIGURATION_PATH,
     CRASHES_PATH,
@@ -20,11 +20,11 @@
     ConfigurationAnswer,
     CrashesAnswer,
     WorkersAnswer,
-    WorkersQuestion,
+    WorkersRequest,
 )
 from corkcrank.node.workers.crash_watch import CrashWatch
 
-PULL_SECONDS = 0.2
+PULL_INTERVAL_SECONDS = 0.2
 """Time between checks for newer state at a peer."""
 
 CONFIGURATION_LAG_SECONDS = 0.15
@@ -33,7 +33,7 @@
 WORKERS_LAG_SECONDS = 0.8
 """A newer list of workers is pulled if its changes did not arrive in heartbeats by then."""
 
-CRASH_HISTORY_MEMBERS = 2
+MAX_CRASH_HISTORY_MEMBERS = 2
 """Members that a gateway asks after its start: one may have been cut off, or just started."""
 
 
@@ -58,15 +58,15 @@
         self._members_asked_for_crashes: set[str] = set()
         self.on_adopted: Callable[[], None] = lambda: None
 
-    def look_soon(self) -> None:
+    def request_pull(self) -> None:
         """Request an immediate check for newer state at a peer."""
         self._behind.set()
 
-    async def pull(self) -> None:
+    async def pull_periodically(self) -> None:
         """Pull newer state from peers until cancelled."""
         while True:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._behind.wait(), PULL_SECONDS)
+                await asyncio.wait_for(self._behind.wait(), PULL_INTERVAL_SECONDS)
             self._behind.clear()
             now = clock.now()
             await self._pull_configuration(now)
@@ -86,9 +86,11 @@
         limit = CONFIGURATION_LAG_SECONDS if is_follower else 0.0
         if not self._lags_for(StoreTable.CONFIGURATION, member, limit, now) or member is None:
             return
-        body = await self._peers.ask(member.heartbeat.address, CONFIGURATION_PATH, repeat=True)
-        answer = read_answer(body, ConfigurationAnswer)
-        if isinstance(answer, PeerTrouble):
+        body = await self._peers.request(
+            member.heartbeat.address, CONFIGURATION_PATH, retry_on_silence=True
+        )
+        answer = decode_answer(body, ConfigurationAnswer)
+        if isinstance(answer, PeerFailure):
             self._record_failure(member, answer)
             return
         if answer.configuration is not None:
@@ -103,10 +105,12 @@
         limit = WORKERS_LAG_SECONDS if self._mirror.workers_known else 0.0
         if not self._lags_for(StoreTable.WORKERS, member, limit, now) or member is None:
             return
-        question = msgspec.msgpack.encode(WorkersQuestion(self._mirror.workers.revision))
-        body = await self._peers.ask(member.heartbeat.address, WORKERS_PATH, question, repeat=True)
-        answer = read_answer(body, WorkersAnswer)
-        if isinstance(answer, PeerTrouble):
+        question = msgspec.msgpack.encode(WorkersRequest(self._mirror.workers.revision))
+        body = await self._peers.request(
+            member.heartbeat.address, WORKERS_PATH, question, retry_on_silence=True
+        )
+        answer = decode_answer(body, WorkersAnswer)
+        if isinstance(answer, PeerFailure):
             self._record_failure(member, answer)
             return
         source = f"peer {member.heartbeat.name}"
@@ -121,18 +125,20 @@
         Heartbeats report old crashes in round-robin order: a gateway that has just started would
         know only some of them for minutes.
         """
-        if len(self._members_asked_for_crashes) >= CRASH_HISTORY_MEMBERS:
+        if len(self._members_asked_for_crashes) >= MAX_CRASH_HISTORY_MEMBERS:
             return
         live = self._fleet.live_members(now)
         new = [item for item in live if item.heartbeat.name not in self._members_asked_for_crashes]
-        for member in new[: CRASH_HISTORY_MEMBERS - len(self._members_asked_for_crashes)]:
-            body = await self._peers.ask(member.heartbeat.address, CRASHES_PATH, repeat=True)
+        for member in new[: MAX_CRASH_HISTORY_MEMBERS - len(self._members_asked_for_crashes)]:
+            body = await self._peers.request(
+                member.heartbeat.address, CRASHES_PATH, retry_on_silence=True
+            )
             self._members_asked_for_crashes.add(member.heartbeat.name)
-            answer = read_answer(body, CrashesAnswer)
-            if isinstance(answer, PeerTrouble):
+            answer = decode_answer(body, CrashesAnswer)
+            if isinstance(answer, PeerFailure):
                 self._record_failure(member, answer)
                 continue
             self._crash_watch.apply_reports(answer.reports, member.heartbeat.name)
 
-    def _record_failure(self, member: Member, failure: PeerTrouble) -> None:
+    def _record_failure(self, member: Member, failure: PeerFailure) -> None:
         self._log.write(LogEvent.PULL_FAILED, member=member.heartbeat.name, detail=failure.value)
--- a/src/corkcrank/node/membership/peer_server.py
+++ b/src/corkcrank/node/membership/peer_server.py
@@ -22,7 +22,7 @@
 from corkcrank.node.engines.engine_owner import EngineOwner
 from corkcrank.node.limits.limit_grants import LimitOwner
 from corkcrank.node.peers.peer_client import (
-    PEER_PROGRESS_SECONDS,
+    PEER_PROGRESS_INTERVAL_SECONDS,
     PEER_SILENCE_SECONDS,
     PROGRESS_BYTE,
 )
@@ -44,9 +44,9 @@
     PrefillRequest,
     StageAnswer,
     StageWork,
-    WithdrawnQuestion,
+    WithdrawRequest,
     WorkersAnswer,
-    WorkersQuestion,
+    WorkersRequest,
 )
 from corkcrank.node.stages.recent_answers import RecentAnswers
 from corkcrank.node.stages.stage_owner import StageOwner
@@ -163,7 +163,7 @@
 
     async def _withdraw(self, request: web.BaseRequest) -> web.Response:
         """Free the results of an answer that was in transit when its work was withdrawn."""
-        message = msgspec.msgpack.decode(await self._read(request), type=WithdrawnQuestion)
+        message = msgspec.msgpack.decode(await self._read(request), type=WithdrawRequest)
         answer = self._recent_answers.take_back(message.question, clock.now())
         if answer is not None:
             self._free_all(answer)
@@ -172,10 +172,12 @@
     async def _prefill_request(self, request: web.BaseRequest) -> web.Response:
         message = msgspec.msgpack.decode(await self._read(request), type=PrefillRequest)
         _check_still_connected(request)
-        return web.Response(body=msgspec.msgpack.encode(self._engine_owner.grant(message)))
+        return web.Response(body=msgspec.msgpack.encode(self._engine_owner.grant_request(message)))
 
     async def _prefill_done(self, request: web.BaseRequest) -> web.Response:
-        self._engine_owner.done(msgspec.msgpack.decode(await self._read(request), type=PrefillDone))
+        self._engine_owner.release_grant(
+            msgspec.msgpack.decode(await self._read(request), type=PrefillDone)
+        )
         return web.Response()
 
     async def _limit_grant(self, request: web.BaseRequest) -> web.Response:
@@ -202,7 +204,7 @@
     async def _workers(self, request: web.BaseRequest) -> web.Response:
         workers = self._mirror.workers
         data = await self._read(request)
-        since = msgspec.msgpack.decode(data, type=WorkersQuestion).since if data else 0
+        since = msgspec.msgpack.decode(data, type=WorkersRequest).since if data else 0
         changes = self._mirror.changes_since(since)
         records = workers.records() if changes is None else ()
         answer = WorkersAnswer(workers.revision, records, changes)
@@ -251,7 +253,7 @@
 
 async def _done_within_interval(task: asyncio.Task[StageAnswer]) -> bool:
     """Wait up to one progress interval for a task; return whether it is done."""
-    done, _ = await asyncio.wait({task}, timeout=PEER_PROGRESS_SECONDS)
+    done, _ = await asyncio.wait({task}, timeout=PEER_PROGRESS_INTERVAL_SECONDS)
     return bool(done)
 
 
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -30,14 +30,14 @@
 """Delay of the read after serving begins: two heartbeats of a small fleet, after which a gateway
 knows whether others serve, and whether it is one of those that read the store."""
 
-WRITE_SECONDS = 0.5
+WRITE_INTERVAL_SECONDS = 0.5
 """Time between checks for rows to write: a sixth of the shortest time within which all gateways
 have to act on a crash (3 s)."""
 
 RETRY_SECONDS = 1.0
 """Delay after a failed call to the store."""
 
-MOST_WRITES = 4
+MAX_ROW_CHANGES_PER_PASS = 4
 """Maximum rows written, and maximum rows removed, in one pass."""
 
 
@@ -97,7 +97,7 @@
         self._written: dict[str, int] = {}
         """Rows known to be in the store, with the size of each."""
 
-    async def keep(self) -> None:
+    async def keep_rows_current(self) -> None:
         """Read the rows once, then keep them up to date until cancelled."""
         while self._fleet.local_phase != Phase.SERVING:
             await asyncio.sleep(READ_DELAY_SECONDS)
@@ -105,7 +105,7 @@
         if self._election.is_elected_follower(clock.now()):
             await self._read()
         while True:
-            await asyncio.sleep(WRITE_SECONDS if await self._write() else RETRY_SECONDS)
+            await asyncio.sleep(WRITE_INTERVAL_SECONDS if await self._write() else RETRY_SECONDS)
 
     async def _read(self) -> None:
         while isinstance(rows := await self._store.read(StoreTable.QUARANTINE), StoreFailure):
@@ -131,14 +131,14 @@
 
     async def _write(self) -> bool:
         """Write and remove changed rows; return whether the store accepted every change."""
-        for request, row in self._rows_to_write()[:MOST_WRITES]:
+        for request, row in self._rows_to_write()[:MAX_ROW_CHANGES_PER_PASS]:
             data = msgspec.json.encode(row)
             if isinstance(
                 await self._store.put(StoreTable.QUARANTINE, request, data), StoreFailure
             ):
                 return False
             self._written[request] = row.size
-        for request in self._rows_to_remove()[:MOST_WRITES]:
+        for request in self._rows_to_remove()[:MAX_ROW_CHANGES_PER_PASS]:
             if isinstance(await self._store.remove(StoreTable.QUARANTINE, request), StoreFailure):
                 return False
             self._written.pop(request, None)
--- a/src/corkcrank/node/peers/peer_client.py
+++ b/src/corkcrank/node/peers/peer_client.py
@@ -17,25 +17,25 @@
 )
 from corkcrank.machines.members import PROBE_TIMEOUT_SECONDS, MIN_SILENCE_FOR_PROBE_SECONDS
 
-PEER_CONNECT_SECONDS = 0.3
+PEER_CONNECT_TIMEOUT_SECONDS = 0.3
 """Timeout for connecting to a peer."""
 
 PEER_SILENCE_SECONDS = MIN_SILENCE_FOR_PROBE_SECONDS + PROBE_TIMEOUT_SECONDS
 """A connection is dropped if no byte of an expected answer arrives for this time: the time after
 which a member that is waited for and does not answer probes is suspected."""
 
-PEER_PROGRESS_SECONDS = PEER_SILENCE_SECONDS / 4
+PEER_PROGRESS_INTERVAL_SECONDS = PEER_SILENCE_SECONDS / 4
 """Interval of progress bytes on a connection while its answer is not ready: 3 may be late, as
 heartbeats may, before the connection is dropped."""
 
 PROGRESS_BYTE = b"\xc0"
 """Sent while an answer is not ready: a MessagePack nil, with which no answer begins."""
 
-KEPT_IDLE_SECONDS = 30.0
+MAX_IDLE_SECONDS = 30.0
 """A connection to a peer is not reused after it was idle for longer than this."""
 
 
-class PeerTrouble(StrEnum):
+class PeerFailure(StrEnum):
     """Why a peer gave no answer."""
 
     SILENT = "silent"
@@ -47,19 +47,19 @@
 _AnswerT = TypeVar("_AnswerT")
 
 
-def read_answer(body: bytes | PeerTrouble, answer_type: type[_AnswerT]) -> _AnswerT | PeerTrouble:
+def decode_answer(body: bytes | PeerFailure, answer_type: type[_AnswerT]) -> _AnswerT | PeerFailure:
     """Decode a peer's answer; return the message, or why there is none.
 
     Gateways of different releases, or another process at a member's address, may answer with
     something else. A decoding error would end the loop that pulls updates, or the call that
     sent the request.
     """
-    if isinstance(body, PeerTrouble):
+    if isinstance(body, PeerFailure):
         return body
     try:
         return msgspec.msgpack.decode(body, type=answer_type)
     except msgspec.DecodeError:
-        return PeerTrouble.UNREADABLE
+        return PeerFailure.UNREADABLE
 
 
 class PeerClient:
@@ -68,39 +68,39 @@
     def __init__(self, on_silence: SilenceListener) -> None:
         self._on_silence = on_silence
         self._session = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=PEER_CONNECT_SECONDS),
-            connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=KEPT_IDLE_SECONDS),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=PEER_CONNECT_TIMEOUT_SECONDS),
+            connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=MAX_IDLE_SECONDS),
         )
 
     async def close(self) -> None:
         """Close every connection."""
         await self._session.close()
 
-    async def ask(
+    async def request(
         self,
         address: str,
         path: str,
         message: bytes | None = None,
         *,
-        seconds: float | None = None,
-        repeat: bool = False,
-    ) -> bytes | PeerTrouble:
+        timeout_seconds: float | None = None,
+        retry_on_silence: bool = False,
+    ) -> bytes | PeerFailure:
         """Return a peer's answer, or why there is none.
 
         ``message`` is sent by POST; without one the request is a GET. ``seconds`` limits the
         whole exchange, beside the silence timeout. ``repeat`` allows one retry on a new
         connection after silence, for a request that is harmless if it arrives twice.
         """
-        answer = await self._exchange(address, path, message, seconds)
-        if answer is PeerTrouble.SILENT and repeat:
-            answer = await self._exchange(address, path, message, seconds)
+        answer = await self._exchange(address, path, message, timeout_seconds)
+        if answer is PeerFailure.SILENT and retry_on_silence:
+            answer = await self._exchange(address, path, message, timeout_seconds)
         return answer
 
     async def _exchange(
         self, address: str, path: str, message: bytes | None, seconds: float | None
-    ) -> bytes | PeerTrouble:
+    ) -> bytes | PeerFailure:
         timeout = aiohttp.ClientTimeout(
-            total=seconds, sock_connect=PEER_CONNECT_SECONDS, sock_read=PEER_SILENCE_SECONDS
+            total=seconds, sock_connect=PEER_CONNECT_TIMEOUT_SECONDS, sock_read=PEER_SILENCE_SECONDS
         )
         started = clock.now()
         try:
@@ -114,15 +114,15 @@
                 return (
                     body.lstrip(PROGRESS_BYTE)
                     if response.status == HTTPStatus.OK
-                    else PeerTrouble.BROKEN
+                    else PeerFailure.BROKEN
                 )
         except aiohttp.ConnectionTimeoutError:
-            return PeerTrouble.BROKEN
+            return PeerFailure.BROKEN
         except TimeoutError:
             self._drop_silent(address, clock.now() - started)
-            return PeerTrouble.SILENT
+            return PeerFailure.SILENT
         except (aiohttp.ClientError, OSError):
-            return PeerTrouble.BROKEN
+            return PeerFailure.BROKEN
 
     def drop_all_idle(self) -> int:
         """Drop every idle connection, so that none is reused; return how many there were."""
--- a/src/corkcrank/node/peers/peer_protocol.py
+++ b/src/corkcrank/node/peers/peer_protocol.py
@@ -84,7 +84,7 @@
     short_of_room: bool = False
 
 
-class WithdrawnQuestion(msgspec.Struct, frozen=True):
+class WithdrawRequest(msgspec.Struct, frozen=True):
     """A withdrawal of stage work, by its random number: the requester will not read the answer."""
 
     question: int
@@ -151,7 +151,7 @@
     rate: float = 0.0
 
 
-class WorkersQuestion(msgspec.Struct, frozen=True):
+class WorkersRequest(msgspec.Struct, frozen=True):
     """A request for the changes of the list of workers after a revision."""
 
     since: int
--- a/src/corkcrank/node/process/background.py
+++ b/src/corkcrank/node/process/background.py
@@ -30,7 +30,7 @@
         await asyncio.sleep(REGISTER_RETRY_SECONDS)
     addresses = [row.value.decode() for row in rows.rows if isinstance(row.value, bytes)]
     fleet.add_addresses(addresses, clock.now())
-    heartbeats.tell_soon()
+    heartbeats.request_urgent_send()
 
 
 async def measure_lag(metrics: NodeMetrics, fleet: Fleet) -> None:
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -169,18 +169,18 @@
             self._statements,
         )
         self._pulls = PeerPulls(self.fleet, self.mirror, self._peers, self.crash_watch, log)
-        self._pulls.on_adopted = self.heartbeats.pass_on_soon
-        self.heartbeats.on_behind = self._pulls.look_soon
-        self.crash_watch.on_update = self.heartbeats.pass_on_soon
-        self._statements.on_update = self.heartbeats.pass_on_soon
+        self._pulls.on_adopted = self.heartbeats.request_forwarding
+        self.heartbeats.on_newer_configuration = self._pulls.request_pull
+        self.crash_watch.on_update = self.heartbeats.request_forwarding
+        self._statements.on_update = self.heartbeats.request_forwarding
         self._quarantine_rows = QuarantineRows(
             ports.store, self.mirror, self.fleet, self._election, self.crash_watch, log
         )
         self.heartbeats.on_suspended = self._on_suspension
-        self.mirror.on_store_change = self.heartbeats.pass_on_soon
-        dispatch.owners.on_wait = self.heartbeats.probe
-        prefill_grants.on_silence = self.heartbeats.probe
-        limit_grants.on_silence = self.heartbeats.probe
+        self.mirror.on_store_change = self.heartbeats.request_forwarding
+        dispatch.owners.on_wait = self.heartbeats.probe_member
+        prefill_grants.on_silence = self.heartbeats.probe_member
+        limit_grants.on_silence = self.heartbeats.probe_member
         self._peer_server = PeerServer(
             self.stage_owner,
             engine_owner,
@@ -226,16 +226,16 @@
         self._loops = [
             self._spawn(self.mirror.follow_table(StoreTable.CONFIGURATION)),
             self._spawn(self.mirror.follow_table(StoreTable.WORKERS)),
-            self._spawn(self.heartbeats.note_running()),
-            self._spawn(self.heartbeats.beat()),
-            self._spawn(self.heartbeats.tell()),
-            self._spawn(self.heartbeats.pass_on()),
-            self._spawn(self._pulls.pull()),
+            self._spawn(self.heartbeats.watch_pauses()),
+            self._spawn(self.heartbeats.send_loop()),
+            self._spawn(self.heartbeats.send_urgent_heartbeats()),
+            self._spawn(self.heartbeats.forward_updates()),
+            self._spawn(self._pulls.pull_periodically()),
             self._spawn(register(process, self._ports.store, self.fleet, self.heartbeats)),
             self._spawn(self._become_ready()),
             self._spawn(measure_lag(self.services.metrics, self.fleet)),
             self._spawn(self._health.evaluate_periodically()),
-            self._spawn(self._quarantine_rows.keep()),
+            self._spawn(self._quarantine_rows.keep_rows_current()),
         ]
 
     async def stop(self, signalled_at: float | None = None) -> None:
@@ -323,7 +323,7 @@
         started_at = clock.now()
         self.life.fire(ProcessTrigger.DRAIN)
         self.fleet.local_phase = Phase.LEAVING
-        self.heartbeats.tell_soon()
+        self.heartbeats.request_urgent_send()
         self._log.write(
             LogEvent.STOPPING,
             in_flight=self.callers.in_flight,
--- a/src/corkcrank/node/stages/recent_answers.py
+++ b/src/corkcrank/node/stages/recent_answers.py
@@ -5,10 +5,10 @@
 
 from collections import OrderedDict
 
-from corkcrank.node.peers.peer_client import PEER_CONNECT_SECONDS, PEER_SILENCE_SECONDS
+from corkcrank.node.peers.peer_client import PEER_CONNECT_TIMEOUT_SECONDS, PEER_SILENCE_SECONDS
 from corkcrank.node.peers.peer_protocol import StageAnswer
 
-KEPT_SECONDS = PEER_SILENCE_SECONDS + 2 * PEER_CONNECT_SECONDS
+KEPT_SECONDS = PEER_SILENCE_SECONDS + 2 * PEER_CONNECT_TIMEOUT_SECONDS
 """Time for which an answer can be withdrawn: the message that withdraws it needs a new connection
 and, if no reply arrives, is sent once more on another one."""
 
--- a/src/corkcrank/node/stages/stage_owner_client.py
+++ b/src/corkcrank/node/stages/stage_owner_client.py
@@ -9,7 +9,7 @@
 from corkcrank.contracts import clock
 from corkcrank.links.platform_ports import PieceOutcome, PieceResult
 from corkcrank.machines.fleet import Fleet
-from corkcrank.node.peers.peer_client import PeerClient, PeerTrouble, read_answer
+from corkcrank.node.peers.peer_client import PeerClient, PeerFailure, decode_answer
 from corkcrank.node.peers.peer_protocol import (
     FREE_PATH,
     PIECES_PATH,
@@ -17,7 +17,7 @@
     FreeResults,
     StageAnswer,
     StageWork,
-    WithdrawnQuestion,
+    WithdrawRequest,
 )
 
 WATCH_SECONDS = 0.25
@@ -47,7 +47,7 @@
         """Have an owner run pieces; on cancellation their results are freed."""
         work = msgspec.structs.replace(work, question=1 + self._random.getrandbits(QUESTION_BITS))
         request = asyncio.create_task(
-            self._peers.ask(address, PIECES_PATH, msgspec.msgpack.encode(work))
+            self._peers.request(address, PIECES_PATH, msgspec.msgpack.encode(work))
         )
         try:
             await self._answered_or_lost(owner, request)
@@ -58,12 +58,12 @@
             if not request.done():
                 request.cancel()
         known = request.done() and not request.cancelled()
-        answer = read_answer(request.result() if known else PeerTrouble.BROKEN, StageAnswer)
-        if answer in (PeerTrouble.SILENT, PeerTrouble.UNREADABLE):
+        answer = decode_answer(request.result() if known else PeerFailure.BROKEN, StageAnswer)
+        if answer in (PeerFailure.SILENT, PeerFailure.UNREADABLE):
             # The owner is alive and may have run the pieces: only its answer is missing.
             lost = PieceResult(PieceOutcome.FAILED)
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"no word from owner {owner}")
-        if isinstance(answer, PeerTrouble):
+        if isinstance(answer, PeerFailure):
             self._fleet.mark_suspected(owner)
             lost = PieceResult(PieceOutcome.REFUSED)
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"owner {owner} is lost")
@@ -85,7 +85,7 @@
             await asyncio.wait(set(self._tasks), timeout=seconds)
 
     async def _answered_or_lost(
-        self, owner: str, request: asyncio.Task[bytes | PeerTrouble]
+        self, owner: str, request: asyncio.Task[bytes | PeerFailure]
     ) -> None:
         """Wait until an owner has answered or is suspected to have failed."""
         while not request.done():
@@ -95,7 +95,7 @@
                 return
 
     def _give_up(
-        self, address: str, work: StageWork, request: asyncio.Task[bytes | PeerTrouble]
+        self, address: str, work: StageWork, request: asyncio.Task[bytes | PeerFailure]
     ) -> None:
         """Free the results of a cancelled question, or withdraw it at its owner.
 
@@ -105,21 +105,21 @@
         if not request.done() or request.cancelled():
             self._spawn(self._withdraw(address, work.question))
             return
-        answer = read_answer(request.result(), StageAnswer)
-        if not isinstance(answer, PeerTrouble):
+        answer = decode_answer(request.result(), StageAnswer)
+        if not isinstance(answer, PeerFailure):
             self.on_unused(answer)
 
     async def _withdraw(self, address: str, question: int) -> None:
         """Withdraw a question; a failed owner has lost the handles of its results as well."""
-        message = msgspec.msgpack.encode(WithdrawnQuestion(question))
-        await self._peers.ask(address, WITHDRAW_PATH, message, repeat=True)
+        message = msgspec.msgpack.encode(WithdrawRequest(question))
+        await self._peers.request(address, WITHDRAW_PATH, message, retry_on_silence=True)
 
     async def _free(
         self, address: str, results: FreeResults, otherwise: Callable[[], None]
     ) -> None:
         message = msgspec.msgpack.encode(results)
-        answer = await self._peers.ask(address, FREE_PATH, message, repeat=True)
-        if isinstance(answer, PeerTrouble):
+        answer = await self._peers.request(address, FREE_PATH, message, retry_on_silence=True)
+        if isinstance(answer, PeerFailure):
             otherwise()
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -159,7 +159,7 @@
             now = clock.now()
             self._assignment.has_read()
             self._services.health.record_outcome(engine, CallOutcome.SERVED)
-            self._services.prefill_grants.done(self._call, read=True)
+            self._services.prefill_grants.report_prefill_done(self._call, read=True)
             self._services.first_event_times.learn(self._call.service, now - sent_at)
             self._services.fetch_delay(self._call.service).record_hit()
             self._services.log.write(
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -12,7 +12,7 @@
 from corkcrank.node.callers.drain import stopped_answer
 from corkcrank.node.callers.refusals import CallerLeftError, Refusal
 from corkcrank.node.calls.services import CallServices
-from corkcrank.node.engines.engine_owner import PrefillTurn
+from corkcrank.node.engines.engine_owner import PrefillVerdict
 from corkcrank.node.stages.stage_failures import StageFailedError
 from corkcrank.node.stages.stage_run import StageRun
 from corkcrank.node.streams.engine_assignment import EngineAssignment
@@ -84,7 +84,7 @@
         except StageFailedError as error:
             return self._stage_refusal(error)
         finally:
-            self._services.prefill_grants.done(self._call)
+            self._services.prefill_grants.report_prefill_done(self._call)
             self._assignment.clear()
             if self._exchanges.stages is not None:
                 self._exchanges.stages.close()
@@ -162,28 +162,30 @@
             self._assignment.assign(engine)
         return engine
 
-    async def _ask_turn(self, chosen: WorkerRecord) -> PrefillTurn:
+    async def _ask_turn(self, chosen: WorkerRecord) -> PrefillVerdict:
         """Request a turn from the owner of the chosen engine's zone, then from other zones."""
         services = self._services
         long = services.prompt_sizes.has_long_prompts(self._call.route.name)
-        turn = await services.prefill_grants.take(self._call, chosen, long=long)
+        turn = await services.prefill_grants.request_grant(self._call, chosen, long=long)
         if turn.engine is None:
             return await self._elsewhere(chosen.zone, turn.wait, long=long)
         if services.worker_statistics.get_or_create(turn.engine.worker_id).is_unavailable(
             clock.now()
         ):
             # The owner has not yet received the report that this engine exited.
-            return PrefillTurn(services.prefill_grants.take_ungranted(chosen), turn.wait)
+            return PrefillVerdict(services.prefill_grants.use_without_grant(chosen), turn.wait)
         return turn
 
-    async def _elsewhere(self, zone: str, wait: float, *, long: bool) -> PrefillTurn:
+    async def _elsewhere(self, zone: str, wait: float, *, long: bool) -> PrefillVerdict:
         """Request a turn from the owners of the other zones, the best zone first."""
-        turn, asked = PrefillTurn(None, wait), {zone}
+        turn, asked = PrefillVerdict(None, wait), {zone}
         for candidate in self._admission.rank_engines():
             if turn.engine is None and candidate.zone not in asked:
                 asked.add(candidate.zone)
-                found = await self._services.prefill_grants.take(self._call, candidate, long=long)
-                turn = PrefillTurn(found.engine, min(turn.wait, found.wait))
+                found = await self._services.prefill_grants.request_grant(
+                    self._call, candidate, long=long
+                )
+                turn = PrefillVerdict(found.engine, min(turn.wait, found.wait))
         outcome = "held back" if turn.engine is None else "elsewhere"
         self._services.metrics.limit_held_back.labels(outcome).inc()
         self._services.log.write(
--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -27,7 +27,7 @@
 from corkcrank.contracts import clock
 from corkcrank.contracts.urgency import Urgency
 from corkcrank.load.loopback import loopback_address
-from corkcrank.node.peers.peer_client import PeerTrouble
+from corkcrank.node.peers.peer_client import PeerFailure
 from corkcrank.node.peers.peer_protocol import (
     PIECES_PATH,
     PREFILL_REQUEST_PATH,
@@ -246,18 +246,18 @@
         dispatch = two.running.nodes[two.other].services.dispatch
         worker = dispatch.worker(two.encode.worker_id)
         assert worker is not None
-        post = dispatch.owners._peers.ask
+        post = dispatch.owners._peers.request
 
         async def post_and_cancel(
             address: str, path: str, message: bytes | None = None, **options: Any
-        ) -> bytes | PeerTrouble:
+        ) -> bytes | PeerFailure:
             body = await post(address, path, message, **options)
             if path == PIECES_PATH:
                 # The call is cancelled before it is told that the answer is there.
                 asyncio.get_running_loop().call_soon(call.cancel)
             return body
 
-        dispatch.owners._peers.ask = post_and_cancel  # type: ignore[method-assign, assignment]
+        dispatch.owners._peers.request = post_and_cancel  # type: ignore[method-assign, assignment]
         call = asyncio.create_task(dispatch.make(worker, piece_work(two.encode)))
         with pytest.raises(asyncio.CancelledError):
             await call
@@ -277,18 +277,18 @@
         dispatch = two.running.nodes[two.other].services.dispatch
         worker = dispatch.worker(two.encode.worker_id)
         assert worker is not None
-        post, written = dispatch.owners._peers.ask, asyncio.Event()
+        post, written = dispatch.owners._peers.request, asyncio.Event()
 
         async def post_to_a_slow_link(
             address: str, path: str, message: bytes | None = None, **options: Any
-        ) -> bytes | PeerTrouble:
+        ) -> bytes | PeerFailure:
             body = await post(address, path, message, **options)
             if path == PIECES_PATH:
                 written.set()
                 await asyncio.Event().wait()
             return body
 
-        dispatch.owners._peers.ask = post_to_a_slow_link  # type: ignore[method-assign, assignment]
+        dispatch.owners._peers.request = post_to_a_slow_link  # type: ignore[method-assign, assignment]
         call = asyncio.create_task(dispatch.make(worker, piece_work(two.encode)))
         await written.wait()
         assert len(two.encode.held) == 2
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -10,7 +10,7 @@
 
 from corkcrank.links.decision_log import DecisionLog
 from corkcrank.load.loopback import loopback_address
-from corkcrank.node.peers.peer_protocol import WORKERS_PATH, WorkersAnswer, WorkersQuestion
+from corkcrank.node.peers.peer_protocol import WORKERS_PATH, WorkersAnswer, WorkersRequest
 from corkcrank.node.process.node import Node
 from corkcrank.platform.ports import connect
 
@@ -192,7 +192,7 @@
 async def ask_for_workers(running: World, since: int) -> WorkersAnswer:
     assert running.session is not None
     address = running.nodes[0].fleet.local_address
-    question = msgspec.msgpack.encode(WorkersQuestion(since))
+    question = msgspec.msgpack.encode(WorkersRequest(since))
     async with running.session.post(f"http://{address}{WORKERS_PATH}", data=question) as response:
         return msgspec.msgpack.decode(await response.read(), type=WorkersAnswer)
 
--- a/tests/scheduling/fleet_play.py
+++ b/tests/scheduling/fleet_play.py
@@ -208,9 +208,9 @@
         for item in self.nodes.values():
             await item.heartbeats.open()
             beats = item.heartbeats
-            loops += [asyncio.create_task(work()) for work in (beats.beat, beats.note_running)]
+            loops += [asyncio.create_task(work()) for work in (beats.send_loop, beats.watch_pauses)]
             if self.scenario.limits:
-                loops.append(asyncio.create_task(beats.pass_on()))
+                loops.append(asyncio.create_task(beats.forward_updates()))
         await asyncio.sleep(self.scenario.warm_up_seconds)
         started = time.monotonic()
         callers: set[asyncio.Task[None]] = set()
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -176,7 +176,7 @@
         def __init__(self, on_silence: object) -> None:
             pass
 
-        async def ask(
+        async def request(
             self, address: str, path: str, message: bytes = b"", **options: object
         ) -> bytes:
             await asyncio.sleep(HOP_SECONDS + REQUEST_HANDLING_SECONDS)
@@ -252,12 +252,12 @@
         return b""
     engines = target._peer_server._engine_owner
     if path == PREFILL_REQUEST_PATH:
-        return msgspec.msgpack.encode(engines.grant(decode(message, type=PrefillRequest)))
+        return msgspec.msgpack.encode(engines.grant_request(decode(message, type=PrefillRequest)))
     if path == LIMIT_GRANT_PATH:
         request = decode(message, type=LimitGrantRequest)
         return msgspec.msgpack.encode(target._peer_server._limit_owner.grant_request(request))
     if path == PREFILL_DONE_PATH:
-        engines.done(decode(message, type=PrefillDone))
+        engines.release_grant(decode(message, type=PrefillDone))
         return b""
     raise AssertionError(path)
 
--- a/tests/scheduling/test_news_epidemic.py
+++ b/tests/scheduling/test_news_epidemic.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from corkcrank.node.membership.heartbeats import NEWS_MEMBERS
+from corkcrank.node.membership.heartbeats import UPDATE_FANOUT
 
 LOST_DATAGRAM_SHARE = 0.025
 SEEDS = range(30)
@@ -18,7 +18,7 @@
         recipients: set[int] = set()
         for member in senders:
             others = [other for other in range(members) if other != member]
-            for other in source.sample(others, min(NEWS_MEMBERS, len(others))):
+            for other in source.sample(others, min(UPDATE_FANOUT, len(others))):
                 if source.random() >= LOST_DATAGRAM_SHARE:
                     recipients.add(other)
         senders = sorted(recipients - received)
