--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -88,8 +88,9 @@
     ) -> LimitVerdict:
         """Request a grant for a call to one of some limited workers, given the best first.
 
-        The owner of each zone is asked once, in the order of the zones' best workers. A call that
-        only ``begins`` requests another grant before it is sent.
+        The owner of each zone is asked once, in the order of the zones' best workers. With
+        ``begins``, the grant only allows the call to start its stages; another grant is requested
+        before the call is sent to a worker.
         """
         grants = []
         for zone in dict.fromkeys(worker.zone for worker in workers):
@@ -131,7 +132,11 @@
         return grant
 
     def _grant_locally(self, candidates: Sequence[WorkerRecord], now: float) -> LimitGrant:
-        """Choose a worker by the local send slots, if the owner did not reply."""
+        """Choose a worker by the local send slots, if the owner did not reply.
+
+        The time until the next slot is not computed. Without an open slot the returned wait is the
+        timeout of a request to the owner; :meth:`request_grant` spaces further retries by the rate.
+        """
         for worker in candidates:
             if self._limits.may_send(worker, now):
                 self._limits.record_sent(worker, now)
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -73,7 +73,10 @@
         return self.quarantine_seconds_left(call)
 
     def is_suspected(self, call: OpaqueCall) -> bool:
-        """Return whether a worker crashed with a call's request that has not completed since."""
+        """Return whether a call's request is suspected, quarantined or on probation.
+
+        That is, a worker crashed while running it, and it has not completed successfully since.
+        """
         if self.quarantine.empty:
             return False
         state = self.quarantine.state(call.fingerprint, clock.now())
@@ -156,7 +159,7 @@
         return ReleaseAnswer(request, before.value, self.quarantine.state(request, now).value)
 
     async def close(self) -> None:
-        """Cancel the checks of workers that are in progress."""
+        """Cancel the worker checks in progress and the timer of the next review of verdicts."""
         if self._review_timer is not None:
             self._review_timer.cancel()
         pending = [*self._tasks, *self._exit_checks.values()]
--- a/src/corkcrank/node/workers/worker_client.py
+++ b/src/corkcrank/node/workers/worker_client.py
@@ -26,7 +26,8 @@
 """Timeout for a connection to a worker."""
 
 MAX_IDLE_SECONDS = 1.5
-"""A keep-alive connection that was idle for longer is not reused."""
+"""A keep-alive connection that was idle for longer is not reused: it may have failed without a
+sign, and only a request that times out would show that."""
 
 MIN_SILENCE_SECONDS = 0.1
 """A shorter wait without a byte says nothing about a connection: the call's deadline was near."""
@@ -57,7 +58,11 @@
 
 
 class _CheckedConnector(aiohttp.TCPConnector):
-    """A connector that closes an idle connection with unread bytes: it holds a surplus response."""
+    """A connector that does not reuse an idle connection on which further bytes have arrived.
+
+    All requests on an idle connection have their complete response. Bytes beyond that belong to no
+    request, and the next request would take them for its response.
+    """
 
     async def _get(self, key, traces):  # type: ignore[no-untyped-def]
         connection = await super()._get(key, traces)
@@ -68,6 +73,11 @@
 
 
 def _has_surplus_bytes(protocol: ResponseHandler | None) -> bool:
+    """Return whether an idle connection received bytes after its last response, or is closed.
+
+    The library keeps a connection only if ``should_close`` is false after a response. It becomes
+    true later if bytes arrive, because the protocol stores them unread.
+    """
     return protocol is None or protocol.should_close
 
 
@@ -173,7 +183,11 @@
         return drop_all_idle(self._kept)
 
     def record_silence(self, address: str, waited: float) -> None:
-        """Record that a worker's connection was dropped after ``waited`` seconds without a byte."""
+        """Record that a worker's connection was dropped after ``waited`` seconds without a byte.
+
+        Also closes all idle connections to that worker, because they may be silent as well. A wait
+        below :data:`MIN_SILENCE_SECONDS` has no effect.
+        """
         if waited < MIN_SILENCE_SECONDS:
             return
         idle = drop_idle(self._kept, address)
--- a/src/corkcrank/scheduling/call_admission.py
+++ b/src/corkcrank/scheduling/call_admission.py
@@ -14,11 +14,13 @@
 from corkcrank.scheduling.forecast_bias import ForecastCorrection
 
 REFUSAL_COST = 1.0
-"""Cost of a refusal: one lost call. One in five callers that retry is still served in time."""
+"""Cost of a refusal: one lost call, although one in five of the refused callers that retry is still
+served in time."""
 
 LATE_COST = 2.0
-"""Cost of a late answer in refusals: the late call, and another call that lost its place to it. A
-higher cost refuses more calls; a lower one admits more calls that then wait in vain."""
+"""Cost of a late answer, as a number of refusals. Two calls are lost: the late one, and another one
+that could have run in its place. A higher cost refuses more calls; a lower one admits more calls
+that then wait in vain."""
 
 MIN_IN_TIME_PROBABILITY = LATE_COST / (LATE_COST + REFUSAL_COST)
 """Probability to be in time below which a call is refused: here both choices cost the same."""
@@ -38,8 +40,8 @@
 """Minimum retry time for a refused caller, in seconds."""
 
 MAX_RETRY_SHARE = 0.3
-"""Maximum retry time as a share of the time left: callers wait at most a third of it, so a little
-less is reported."""
+"""Maximum retry time, as a share of the time that remains before the caller's deadline. A caller
+waits for at most a third of that time, so it is given a little less."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,8 +146,7 @@
     chance only, so that it is refused again less often. A late answer makes other calls late if
     calls are queued. If nothing is queued now, it delays no other call, so the deadline applies
     instead of the objective. Pieces that are only forecast to arrive first don't count as queued:
-    no call is refused because of them while workers are free and queues are empty
-    (test_free_workers.py).
+    no call is refused because of them while workers are free and queues are empty.
 
     >>> sure, engine = ForecastCorrection(prior_share=0.0), EngineForecast(0.3)
     >>> decide_admission(
--- a/src/corkcrank/scheduling/crash_records.py
+++ b/src/corkcrank/scheduling/crash_records.py
@@ -23,8 +23,8 @@
 reached all gateways, and a gateway that failed meanwhile has been detected."""
 
 MAX_SETTLE_SECONDS = 2.0
-"""A record is used for verdicts after this time even if requests are still being added. It lies
-within the 3 s in which all gateways have to act on a crash."""
+"""A record is used for verdicts after this time even if requests are still being added. It is
+below a required bound: all gateways must act on a crash within 3 s."""
 
 UNREPORTED_CRASH_SECONDS = 0.5
 """A failed gateway may not have reported crashes up to this long before its last heartbeat."""
--- a/src/corkcrank/scheduling/crash_verdicts.py
+++ b/src/corkcrank/scheduling/crash_verdicts.py
@@ -17,7 +17,8 @@
 
 MIN_CERTAINTY_CRASHES = 5
 """Minimum number of crashes for which a request is quarantined even if other requests may explain
-them: two more than for a quarantine, of the three further crashes that a request may cause."""
+them: two more than :data:`MIN_QUARANTINE_CRASHES`. Once every gateway had time to know of the first
+three crashes, a request may cause at most three more, of which this number uses two."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -173,8 +173,9 @@
         unread = self.unread_tokens(engine.worker_id, question.prompt)
         cost = reading + unread + IN_FLIGHT_CALL_COST_TOKENS * calls
         if calls:
-            # Protects the engine's streams: two or three prompts read in a row made a tenth of
-            # the most urgent route's streams late while other engines were idle.
+            # Protects the streams that the engine writes, which pause while it reads a prompt.
+            # Engines that read two or three prompts in a row made a tenth of the most urgent
+            # route's streams late, although other engines were idle.
             cost += STREAM_DELAY_COST_FACTOR * max(
                 0.0, reading + unread - question.max_consecutive_tokens
             )
--- a/src/corkcrank/scheduling/forecast_bias.py
+++ b/src/corkcrank/scheduling/forecast_bias.py
@@ -20,8 +20,9 @@
 """Weight of the prior (the forecast is right), in number of new measurements."""
 
 PRIOR_VARIANCE = 1.0 / 12.0
-"""Variance of a ratio before the first measurement: a piece arrives at any point of a worker's
-running call, which is as long as its own, so its wait is uniform over one such call."""
+"""Variance of a ratio before the first measurement: that of a uniform distribution of width 1. A
+piece arrives at any point of the worker's running call and waits for its end. The running call and
+the call that will run the piece are equally long, so the wait is uniform over one call."""
 
 RATIO_BOUNDS = (0.7, 3.0)
 """Bounds of one measured ratio."""
--- a/src/corkcrank/scheduling/outlier_detection.py
+++ b/src/corkcrank/scheduling/outlier_detection.py
@@ -245,7 +245,8 @@
 def expected_failure_rate(counts: Counts, usual: float) -> float:
     """Return the mean of the Beta posterior of a failure rate, with the usual rate as prior.
 
-    A fixed prior made workers that all fail look better the fewer calls they had.
+    The caller passes the service's usual rate, because a fixed prior fails if all workers fail:
+    the fewer calls a worker had, the closer its rate stayed to the prior, and the better it looked.
 
     >>> round(expected_failure_rate(Counts(), 0.1), 2), round(
     ...     expected_failure_rate(Counts(3.0, 3.0), 0.1), 2
--- a/src/corkcrank/scheduling/rate_limits.py
+++ b/src/corkcrank/scheduling/rate_limits.py
@@ -6,8 +6,9 @@
 - If the owner of a service's workers in a zone can be reached, this one gateway decides for all: it
   counts the requests that it granted in a window of time.
 - If the owner does not answer, each gateway has time slots for one request each, which follow from
-  its name and the worker's. Slots that pass unused expire. Equal shares of the rate would be close
-  to nothing in a fleet of 86, and unused shares would all become usable at once.
+  its name and the worker's. Slots that pass unused expire. Equal shares of the rate are no
+  alternative: with 86 gateways each share is close to zero, and shares that were not used would
+  all become usable at once.
 
 The module does no I/O; callers pass the time.
 """
--- a/src/corkcrank/scheduling/request_quarantine.py
+++ b/src/corkcrank/scheduling/request_quarantine.py
@@ -299,10 +299,15 @@
         )
 
     def _retention_seconds(self, request: str) -> float:
-        ends = len(self.records.suspected_crashes(request))
-        if ends < MIN_QUARANTINE_CRASHES:
+        """Return for how long after a request's last crash its crash records are kept at least.
+
+        A request is blamed only as long as its records exist. Twice the quarantine leaves it on
+        probation for at least as long as it was quarantined, before it counts as healthy again.
+        """
+        crashes = len(self.records.suspected_crashes(request))
+        if crashes < MIN_QUARANTINE_CRASHES:
             return EVIDENCE_RETENTION_SECONDS
-        return max(EVIDENCE_RETENTION_SECONDS, 2.0 * quarantine_seconds(ends))
+        return max(EVIDENCE_RETENTION_SECONDS, 2.0 * quarantine_seconds(crashes))
 
 
 def quarantine_seconds(ends: int) -> float:
--- a/src/corkcrank/scheduling/return_times.py
+++ b/src/corkcrank/scheduling/return_times.py
@@ -5,7 +5,8 @@
 """
 
 MAX_RETURN_SECONDS = 5.0
-"""Maximum retry time: callers wait at most a third of the time that they have left."""
+"""Maximum retry time. A caller waits for at most a third of the time that remains before its
+deadline."""
 
 
 class ReturnTimes:
--- a/src/corkcrank/scheduling/stage_backlog.py
+++ b/src/corkcrank/scheduling/stage_backlog.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _Rate:
-    """Pieces per second with exponential decay; the time constant is :data:`RATE_SECONDS`."""
+    """Pieces per second; decays exponentially with :data:`RATE_TIME_CONSTANT_SECONDS`."""
 
     value: float = 0.0
     at: float = 0.0
--- a/src/corkcrank/scheduling/stage_queue.py
+++ b/src/corkcrank/scheduling/stage_queue.py
@@ -45,7 +45,8 @@
 """Share of a refused piece's size that counts as free, so that a truly smaller piece fits."""
 
 REPORTED_HOLD_SECONDS = 0.1
-"""The same if the worker reported its free room: a report costs a few round trips."""
+"""Time for which room is not requested again after the worker reported how much is free. It is
+short because another attempt, with the report that follows a refusal, costs a few round trips."""
 
 
 @dataclass(slots=True, eq=False)
@@ -228,10 +229,7 @@
             self.mean_hold += HOLD_WEIGHT * ((now - held.completed_at) - self.mean_hold)
 
     def forecast(self, now: float, urgency: Urgency, pieces: int, size: float) -> QueueForecast:
-        """Return when ``pieces`` of ``size`` bytes each would start and end.
-
-        The last piece determines both. The wait for room is based on the mean hold time.
-        """
+        """Return when the last of ``pieces`` of ``size`` bytes each would start and end."""
         limit = now + self.call_seconds(1)
         new_piece_order = (urgency.due < limit, urgency)
         ahead = [
@@ -288,6 +286,7 @@
         return max(wait, 0.0, min(ends))
 
     def _room_wait(self, ahead: list[StageItem], pieces: int, size: float) -> float:
+        """Return the seconds until the room suffices, based on the mean hold time."""
         wanted = (
             self.room_used + sum(stage_item.result_bytes for stage_item in ahead) + pieces * size
         )
--- a/src/corkcrank/scheduling/stream_times.py
+++ b/src/corkcrank/scheduling/stream_times.py
@@ -3,9 +3,10 @@
 A stopping gateway starts a stream only if the stream usually ends before the gateway exits.
 Callers state the maximum number of output tokens, so the time is estimated per such token.
 
-The estimate is the mean and not an upper bound: a stream that is more likely to end in time than
-not is worth starting, because during a rolling restart of gateways a refused caller is served
-about as seldom. No bound would hold anyway: one stream in a hundred takes nine times the usual.
+The estimate is the mean and not an upper bound. A stream that is more likely to end in time than
+not is worth starting: during a rolling restart of the gateways, its caller would not be served more
+often if it were refused and tried another gateway. No bound would hold anyway: one stream in a
+hundred takes nine times the usual.
 """
 
 from dataclasses import dataclass, field
--- a/src/corkcrank/scheduling/worker_outcomes.py
+++ b/src/corkcrank/scheduling/worker_outcomes.py
@@ -30,7 +30,8 @@
 """Workers whose outcomes one heartbeat reports, about 20 bytes each before compression."""
 
 MIN_REPORTED_FAULTS = 0.25
-"""Weight of faults from which a worker is reported: one fault has it for two half-lives."""
+"""Weight of faults from which a worker is reported to peers, and of failures of any kind from which
+this gateway lists it as failing: one fault has this weight for two half-lives."""
 
 MIN_REPORTED_SERVED = 0.5
 """Weight of served calls from which a worker is reported if a peer reported faults of it."""
@@ -228,7 +229,11 @@
         return Evidence(same_zone, other_zone)
 
     def failing_workers(self, now: float) -> set[str]:
-        """Return the workers with a failure, local or reported, that still has weight."""
+        """Return the workers that fail calls, by the local counts or by a peer's latest report.
+
+        Locally, the decayed weight of the failures must be :data:`MIN_REPORTED_FAULTS` or more.
+        Any fault in a peer's latest report suffices.
+        """
         self._decide_connection_failures(now)
         local = {
             worker_id
