--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -199,7 +199,7 @@
             workers_revision=self._mirror.workers.revision,
             workers_contact=self._store_contact(StoreTable.WORKERS, now),
             worker_changes=self._mirror.recent_changes.current_batch(now),
-            stage_loads=self._stage_owner.loads(now),
+            stage_loads=self._stage_owner.stage_loads(now),
             call_loads=tuple(calls[:MAX_CALL_LOADS]),
             backlogs=tuple(
                 ServiceBacklog(service, rank, pieces, rate)
--- a/src/corkcrank/node/membership/peer_server.py
+++ b/src/corkcrank/node/membership/peer_server.py
@@ -126,7 +126,7 @@
     async def _pieces(self, request: web.BaseRequest) -> web.StreamResponse:
         work = msgspec.msgpack.decode(await self._read(request), type=StageWork)
         _check_still_connected(request)
-        running = asyncio.create_task(self._stage_owner.make(work))
+        running = asyncio.create_task(self._stage_owner.run_pieces(work))
         try:
             response = await _answer_when_done(request, running)
         except (ConnectionError, asyncio.CancelledError):
@@ -141,7 +141,7 @@
         """Record an answer as sent; return whether its requester has not withdrawn the work."""
         if not work.question:
             return True
-        return self._recent_answers.note_answered(work.question, answer, clock.now())
+        return self._recent_answers.record_answer(work.question, answer, clock.now())
 
     def _abandon(self, running: asyncio.Task[StageAnswer]) -> None:
         """Cancel pieces whose requester has disconnected, or free their results."""
@@ -154,17 +154,17 @@
         """Free the results of an answer that its requester will not read."""
         for result in answer.results:
             if result.handle:
-                self._stage_owner.free(result.worker_id, (result.handle,))
+                self._stage_owner.free_results(result.worker_id, (result.handle,))
 
     async def _free(self, request: web.BaseRequest) -> web.Response:
         message = msgspec.msgpack.decode(await self._read(request), type=FreeResults)
-        self._stage_owner.free(message.worker_id, message.handles)
+        self._stage_owner.free_results(message.worker_id, message.handles)
         return web.Response()
 
     async def _withdraw(self, request: web.BaseRequest) -> web.Response:
         """Free the results of an answer that was in transit when its work was withdrawn."""
         message = msgspec.msgpack.decode(await self._read(request), type=WithdrawRequest)
-        answer = self._recent_answers.take_back(message.question, clock.now())
+        answer = self._recent_answers.withdraw_question(message.question, clock.now())
         if answer is not None:
             self._free_all(answer)
         return web.Response()
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -178,7 +178,7 @@
         )
         self.heartbeats.on_suspended = self._on_suspension
         self.mirror.on_store_change = self.heartbeats.request_forwarding
-        dispatch.owners.on_wait = self.heartbeats.probe_member
+        dispatch.owner_client.on_waiting = self.heartbeats.probe_member
         prefill_grants.on_silence = self.heartbeats.probe_member
         limit_grants.on_silence = self.heartbeats.probe_member
         self._peer_server = PeerServer(
@@ -266,8 +266,8 @@
         tasks fail on closed sessions.
         """
         await asyncio.gather(
-            self.services.dispatch.owners.settle(FREE_SECONDS),
-            self.stage_owner.room.settle(FREE_SECONDS),
+            self.services.dispatch.owner_client.wait_for_messages(FREE_SECONDS),
+            self.stage_owner.room.wait_for_free_messages(FREE_SECONDS),
         )
 
     async def _cancel_loops(self) -> None:
@@ -309,7 +309,7 @@
         self._health.retain_only(listed)
         self._statements.limits.retain_only(listed)
         self.mirror.warming.retain_only(listed)
-        self.stage_owner.workers_changed()
+        self.stage_owner.apply_worker_changes()
 
     async def _become_ready(self) -> None:
         while self.mirror.configuration is None or not self.mirror.workers_known:
--- a/src/corkcrank/node/stages/downstream_backlog.py
+++ b/src/corkcrank/node/stages/downstream_backlog.py
@@ -22,7 +22,7 @@
         """When pieces were last sent here; other gateways then rely on reports of these queues."""
 
     @contextmanager
-    def counted(self, work: StageWork, now: float) -> Iterator[None]:
+    def count_following(self, work: StageWork, now: float) -> Iterator[None]:
         """Count the pieces that follow the given work until it has ended."""
         rank = work.urgency.rank
         later_rank = begun_rank(rank)
--- a/src/corkcrank/node/stages/held_results.py
+++ b/src/corkcrank/node/stages/held_results.py
@@ -16,17 +16,17 @@
         """Record a result that a worker stores."""
         self._holders[handle] = worker
 
-    def take(self, handles: Iterable[str]) -> list[tuple[str, WorkerRecord]]:
+    def remove(self, handles: Iterable[str]) -> list[tuple[str, WorkerRecord]]:
         """Remove results; return those that were recorded, with their workers."""
         return [
             (handle, self._holders.pop(handle)) for handle in handles if handle in self._holders
         ]
 
-    def take_all(self) -> list[tuple[str, WorkerRecord]]:
+    def remove_all(self) -> list[tuple[str, WorkerRecord]]:
         """Remove all results and return them with their workers."""
-        return self.take(list(self._holders))
+        return self.remove(list(self._holders))
 
-    def by_zone(self, handles: Iterable[str]) -> dict[str, int]:
+    def count_by_zone(self, handles: Iterable[str]) -> dict[str, int]:
         """Return how many of the given results are stored in each zone."""
         counts: dict[str, int] = {}
         for handle in handles:
@@ -35,7 +35,7 @@
                 counts[holder.zone] = counts.get(holder.zone, 0) + 1
         return counts
 
-    def by_worker(self, handles: Iterable[str]) -> tuple[FreeResults, ...]:
+    def group_by_worker(self, handles: Iterable[str]) -> tuple[FreeResults, ...]:
         """Return messages that free the given results, one for each worker."""
         found: dict[str, list[str]] = {}
         for handle in handles:
--- a/src/corkcrank/node/stages/input_releases.py
+++ b/src/corkcrank/node/stages/input_releases.py
@@ -24,7 +24,7 @@
     timer: asyncio.TimerHandle | None = None
     freed: bool = False
 
-    def keep(self) -> None:
+    def cancel_release(self) -> None:
         """Cancel the scheduled release of these inputs."""
         if self.timer is not None:
             self.timer.cancel()
@@ -35,11 +35,11 @@
     """The inputs of queued and running pieces; ``free`` is called with results to free."""
 
     def __init__(self) -> None:
-        self.free: Callable[[FreeResults], None] = lambda results: None
+        self.free_results: Callable[[FreeResults], None] = lambda results: None
         self._inputs: dict[int, _Inputs] = {}
         self._delays: dict[str, FetchDelay] = {}
 
-    def add(self, work: StageWork, stage_items: Sequence[StageItem]) -> None:
+    def track(self, work: StageWork, stage_items: Sequence[StageItem]) -> None:
         """Track the pieces of a call's stage if they are the last readers of some results."""
         if not work.last_reads:
             return
@@ -47,22 +47,22 @@
         for stage_item in stage_items:
             self._inputs[id(stage_item)] = inputs
 
-    def begun(self, stage_items: Sequence[StageItem]) -> None:
+    def record_begun(self, stage_items: Sequence[StageItem]) -> None:
         """Record that pieces were sent to a worker that begins them at once."""
-        for inputs in self._of(stage_items):
+        for inputs in self._tracked_inputs(stage_items):
             inputs.waiting -= 1
             if inputs.waiting == 0 and not inputs.freed:
                 delay = self._delays.setdefault(inputs.service, FetchDelay())
                 loop = asyncio.get_running_loop()
-                inputs.timer = loop.call_later(delay.seconds, self._free, inputs)
+                inputs.timer = loop.call_later(delay.seconds, self._release_inputs, inputs)
 
-    def put_back(self, stage_items: Sequence[StageItem]) -> None:
+    def record_requeued(self, stage_items: Sequence[StageItem]) -> None:
         """Record that a worker rejected pieces, which will therefore read their inputs again."""
-        for inputs in self._of(stage_items):
+        for inputs in self._tracked_inputs(stage_items):
             inputs.waiting += 1
-            inputs.keep()
+            inputs.cancel_release()
 
-    def ended(self, stage_items: Sequence[StageItem], *, inputs_missed: bool) -> bool:
+    def discard(self, stage_items: Sequence[StageItem], *, inputs_missed: bool) -> bool:
         """Remove pieces that were completed, refused or cancelled.
 
         Returns whether their inputs were freed.
@@ -70,11 +70,11 @@
         ``inputs_missed`` says that a worker did not find some inputs: it reads them later than
         the estimated delay.
         """
-        found = self._of(stage_items)
+        found = self._tracked_inputs(stage_items)
         for stage_item in stage_items:
             self._inputs.pop(id(stage_item), None)
         for inputs in found:
-            inputs.keep()
+            inputs.cancel_release()
         freed = any(inputs.freed for inputs in found)
         for service in {inputs.service for inputs in found}:
             delay = self._delays.setdefault(service, FetchDelay())
@@ -84,12 +84,12 @@
                 delay.record_miss()
         return freed
 
-    def _free(self, inputs: _Inputs) -> None:
+    def _release_inputs(self, inputs: _Inputs) -> None:
         inputs.freed = True
         inputs.timer = None
         for results in inputs.results:
-            self.free(results)
+            self.free_results(results)
 
-    def _of(self, stage_items: Sequence[StageItem]) -> list[_Inputs]:
+    def _tracked_inputs(self, stage_items: Sequence[StageItem]) -> list[_Inputs]:
         found = (self._inputs.get(id(stage_item)) for stage_item in stage_items)
         return [inputs for inputs in found if inputs is not None]
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -20,10 +20,10 @@
 FULL_BLOCK_SECONDS = 0.08
 """Pause after a worker rejected a call as full, because another owner sends to it too."""
 
-LONGEST_BLOCK_SECONDS = 1.0
+MAX_LIMIT_BLOCK_SECONDS = 1.0
 """Time after which the queue of a rate-limited worker is checked again: the limit may be lifted."""
 
-LEAST_TIMER_SECONDS = 0.005
+MIN_TIMER_SECONDS = 0.005
 """Minimum time until a queue is checked again."""
 
 
@@ -60,7 +60,7 @@
         """Return the queue of a worker, if there is one."""
         return self._queues.get(worker_id)
 
-    def of(self, worker: WorkerRecord, profile: ServiceProfile) -> OwnedQueue:
+    def get_or_create(self, worker: WorkerRecord, profile: ServiceProfile) -> OwnedQueue:
         """Return the queue of a worker, created if needed, with the currently stated capacity."""
         assert profile.stage is not None
         entry = self._queues.get(worker.worker_id)
@@ -74,7 +74,7 @@
         entry.queue.capacity = profile.stage
         return entry
 
-    def drop(self, entry: OwnedQueue) -> None:
+    def remove(self, entry: OwnedQueue) -> None:
         """Remove the queue of a worker that is no longer listed."""
         if entry.timer is not None:
             entry.timer.cancel()
@@ -89,7 +89,7 @@
             if other is not entry and (other.worker.service, other.worker.zone) == pool
         ]
 
-    def first_free(
+    def queue_with_earliest_end(
         self, worker: WorkerRecord, profile: ServiceProfile, work: StageWork, now: float
     ) -> tuple[OwnedQueue, QueueForecast]:
         """Return the queue of the worker's pool with the earliest forecast end, and the forecast.
@@ -105,24 +105,24 @@
             unhealthy = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
             if other is not worker and (statistics.is_unavailable(now) or unhealthy):
                 continue
-            entry = self.of(other, profile)
+            entry = self.get_or_create(other, profile)
             expected = entry.queue.forecast(now, urgency, len(work.pieces), work.result_bytes)
             choices.append((entry, expected))
         return min(choices, key=lambda choice: choice[1].end)
 
 
-def hold_back(entry: OwnedQueue, limits: WorkerLimits, now: float) -> None:
+def block_if_limited(entry: OwnedQueue, limits: WorkerLimits, now: float) -> None:
     """Block the queue of a rate-limited worker until its next call; forecasts include the block."""
     entry.queue.min_call_interval = limits.interval(entry.worker, now)
     if entry.queue.min_call_interval:
         entry.queue.block_calls(
-            now, min(limits.seconds_until_grant(entry.worker, now), LONGEST_BLOCK_SECONDS)
+            now, min(limits.seconds_until_grant(entry.worker, now), MAX_LIMIT_BLOCK_SECONDS)
         )
 
 
-def next_call(entry: OwnedQueue, limits: WorkerLimits, now: float) -> StageCall | None:
+def start_call_if_allowed(entry: OwnedQueue, limits: WorkerLimits, now: float) -> StageCall | None:
     """Start the next call of a queue, or return ``None`` if its worker may be sent none now."""
-    hold_back(entry, limits, now)
+    block_if_limited(entry, limits, now)
     call = entry.queue.start_next_call(now)
     if call is not None:
         limits.record_grant(entry.worker, now)
--- a/src/corkcrank/node/stages/stage_dispatch.py
+++ b/src/corkcrank/node/stages/stage_dispatch.py
@@ -21,13 +21,13 @@
 from corkcrank.scheduling.stage_queue import QueueForecast
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-OWN_PIECES_SECONDS = 0.6
+SENT_PIECES_SECONDS = 0.6
 """Time for which pieces sent to a peer are added to the load in its last report."""
 
 TURNOVER_CALLS = 2.5
 """Usual time for which a result occupies memory, in full calls, if the owner is a peer."""
 
-LEAST_RATE_LEFT = 0.2
+MIN_RATE_SHARE_LEFT = 0.2
 """Minimum share of a service's rate assumed available to a rank despite more urgent ranks."""
 
 
@@ -55,15 +55,15 @@
         self._stage_owner = stage_owner
         self._random = random_source
         self._sent: dict[str, list[_SentPieces]] = {}
-        self.owners = StageOwnerClient(fleet, peers, random_source)
-        self.owners.on_unused = self._give_back
-        stage_owner.inputs.free = self._free_read
+        self.owner_client = StageOwnerClient(fleet, peers, random_source)
+        self.owner_client.on_unused_answer = self._free_unused_answer
+        stage_owner.inputs.free_results = self._free_consumed_inputs
 
-    def worker(self, worker_id: str) -> WorkerRecord | None:
+    def get_worker(self, worker_id: str) -> WorkerRecord | None:
         """Return a listed worker by its id, or ``None``."""
         return self._mirror.workers.get(worker_id)
 
-    def capacity(self, service: str) -> StageCapacity | None:
+    def service_capacity(self, service: str) -> StageCapacity | None:
         """Return the stated capacity of a service's workers."""
         profile = self._mirror.profile(service)
         return profile.stage if profile is not None else None
@@ -78,29 +78,29 @@
     ) -> QueueForecast:
         """Return when pieces would start and end at a worker, by its most recent known load."""
         now = clock.now()
-        queue = self._stage_owner.queue(worker.worker_id)
+        queue = self._stage_owner.get_queue(worker.worker_id)
         owner = self.owner_of(worker, now)
         if owner == self._fleet.local_name and queue is not None:
             return queue.forecast(now, urgency.on_clock(now), pieces, size)
-        return self._told_forecast(worker, owner, urgency, pieces, size)
+        return self._forecast_from_report(worker, owner, urgency, pieces, size)
 
-    def _told_forecast(
+    def _forecast_from_report(
         self, worker: WorkerRecord, owner: str, urgency: Urgency, pieces: int, size: float
     ) -> QueueForecast:
         now = clock.now()
-        capacity = self.capacity(worker.service)
+        capacity = self.service_capacity(worker.service)
         if capacity is None:
             return QueueForecast(float("inf"), float("inf"))
         member = self._fleet.member(owner)
-        start, waiting, told_at, room = 0.0, 0, 0.0, capacity.room_bytes
+        start, waiting, reported_at, room = 0.0, 0, 0.0, capacity.room_bytes
         if member is not None:
-            told_at = member.received_at
+            reported_at = member.received_at
             for load in member.heartbeat.stage_loads:
                 if load.worker_id == worker.worker_id:
-                    start = max(0.0, load.start_seconds(urgency.rank) - (now - told_at))
+                    start = max(0.0, load.start_seconds(urgency.rank) - (now - reported_at))
                     waiting = load.waiting
                     room = load.room_free
-        sent = self._recently_sent(worker.worker_id, max(told_at, now - OWN_PIECES_SECONDS))
+        sent = self._recently_sent(worker.worker_id, max(reported_at, now - SENT_PIECES_SECONDS))
         position = waiting % capacity.batch + sent + pieces
         start += (position - 1) // capacity.batch * capacity.full_call_seconds
         if sent and start == 0.0:
@@ -113,7 +113,7 @@
         batch = min(capacity.batch, position)
         return QueueForecast(start, start + capacity.call_seconds + batch * capacity.piece_seconds)
 
-    def choose(
+    def choose_worker(
         self, placing: StagePlacing, excluded: Collection[str]
     ) -> tuple[WorkerRecord, QueueForecast] | None:
         """Return the best worker for the pieces of a placing, with its forecast."""
@@ -127,7 +127,7 @@
             self._random,
         )
 
-    def wait_in_zone(
+    def shortest_wait_in_zone(
         self, service: str, zone: str, urgency: Urgency, pieces: int, size: float
     ) -> float:
         """Return the shortest wait of a service's workers in a zone, in seconds.
@@ -135,20 +135,20 @@
         Without a worker there, the work would go to another zone, which counts as the time of a
         full call.
         """
-        capacity = self.capacity(service)
+        capacity = self.service_capacity(service)
         waits = [
             self.forecast(worker, urgency, pieces, size).start
             for worker in self._mirror.workers.usable_in(service, zone)
         ]
         return min(waits, default=capacity.full_call_seconds if capacity is not None else 0.0)
 
-    def expected(self, placing: StagePlacing) -> StageForecast | None:
+    def forecast_future_pieces(self, placing: StagePlacing) -> StageForecast | None:
         """Return when pieces of a call that has not reached this stage yet would start and end.
 
         The wait includes the pieces that admitted calls will request later, and grows with the
         requests of more urgent ranks, which are served first.
         """
-        choice = self.choose(placing, ())
+        choice = self.choose_worker(placing, ())
         if choice is None:
             return None
         now = clock.now()
@@ -160,7 +160,7 @@
         )
         before = local.rate_before(service, rank, now)
         before += self._fleet.reported_rate_before(service, rank, now)
-        left = max(LEAST_RATE_LEFT, 1.0 - before / rate) if rate else 1.0
+        left = max(MIN_RATE_SHARE_LEFT, 1.0 - before / rate) if rate else 1.0
         forecast = choice[1]
         start = (forecast.start + (coming / rate if rate else 0.0)) / left
         end = start + forecast.end - forecast.start
@@ -168,23 +168,23 @@
 
     def _service_rate(self, service: str) -> float:
         """Return the pieces per second that a service's workers complete with full batches."""
-        capacity = self.capacity(service)
+        capacity = self.service_capacity(service)
         workers = len(self._mirror.workers.usable(service))
         if capacity is None or not workers:
             return 0.0
         return workers * capacity.pieces_a_second
 
-    async def make(self, worker: WorkerRecord, work: StageWork) -> StageAnswer:
+    async def run_pieces(self, worker: WorkerRecord, work: StageWork) -> StageAnswer:
         """Have the owner of a worker run pieces."""
         owner = self.owner_of(worker, clock.now())
         member = self._fleet.member(owner)
         if owner == self._fleet.local_name or member is None:
-            return await self._stage_owner.make(work)
+            return await self._stage_owner.run_pieces(work)
         sent = _SentPieces(clock.now(), len(work.pieces))
         self._sent.setdefault(worker.worker_id, []).append(sent)
-        return await self.owners.make(owner, member.heartbeat.address, work)
+        return await self.owner_client.request_pieces(owner, member.heartbeat.address, work)
 
-    def free(self, results: Iterable[tuple[str, WorkerRecord]]) -> None:
+    def free_results(self, results: Iterable[tuple[str, WorkerRecord]]) -> None:
         """Free results, each given with the worker that stores it."""
         by_worker: dict[str, tuple[WorkerRecord, list[str]]] = {}
         for handle, worker in results:
@@ -194,25 +194,27 @@
             owner = self.owner_of(worker, now)
             member = self._fleet.member(owner)
             if owner == self._fleet.local_name or member is None:
-                self._stage_owner.free(worker.worker_id, handles)
+                self._stage_owner.free_results(worker.worker_id, handles)
                 continue
-            self.owners.free(
+            self.owner_client.free_results(
                 member.heartbeat.address,
                 worker.worker_id,
                 tuple(handles),
-                functools.partial(self._stage_owner.free, worker.worker_id, handles),
+                functools.partial(self._stage_owner.free_results, worker.worker_id, handles),
             )
 
-    def _free_read(self, read: FreeResults) -> None:
+    def _free_consumed_inputs(self, read: FreeResults) -> None:
         """Free results that a stage worker has read as inputs."""
-        worker = self.worker(read.worker_id)
+        worker = self.get_worker(read.worker_id)
         if worker is not None:
-            self.free([(handle, worker) for handle in read.handles])
+            self.free_results([(handle, worker) for handle in read.handles])
 
-    def _give_back(self, answer: StageAnswer) -> None:
+    def _free_unused_answer(self, answer: StageAnswer) -> None:
         """Free the results of an answer whose question was cancelled."""
-        made = [(result.handle, self.worker(result.worker_id)) for result in answer.results]
-        self.free([(handle, maker) for handle, maker in made if handle and maker is not None])
+        made = [(result.handle, self.get_worker(result.worker_id)) for result in answer.results]
+        self.free_results(
+            [(handle, maker) for handle, maker in made if handle and maker is not None]
+        )
 
     def _recently_sent(self, worker_id: str, since: float) -> int:
         sent = [item for item in self._sent.get(worker_id, ()) if item.at > since]
--- a/src/corkcrank/node/stages/stage_failures.py
+++ b/src/corkcrank/node/stages/stage_failures.py
@@ -14,5 +14,5 @@
         self.retry_after = retry_after
 
 
-class InputsGoneError(StageFailedError):
+class InputsUnavailableError(StageFailedError):
     """Results that pieces read are unavailable: freed, or lost when their worker exited."""
--- a/src/corkcrank/node/stages/stage_messages.py
+++ b/src/corkcrank/node/stages/stage_messages.py
@@ -22,7 +22,7 @@
 batch was sent suggests that its pieces crashed the worker: unsent pieces never reached it."""
 
 
-def load_of(worker_id: str, queue: StageQueue, now: float) -> StageLoad:
+def build_stage_load(worker_id: str, queue: StageQueue, now: float) -> StageLoad:
     """Return the load of a queue as heartbeats report it."""
     most_urgent = Urgency((-1, -1), float("inf"))
     starts = tuple(
@@ -38,7 +38,7 @@
     )
 
 
-def stage_item_of(work: StageWork, piece: int, now: float) -> StageItem:
+def build_stage_item(work: StageWork, piece: int, now: float) -> StageItem:
     """Return the queue item of one piece, with its times converted to this machine's clock."""
     order = PieceOrder(work.call_id, work.stage, piece, work.key, work.inputs)
     return StageItem(
@@ -52,13 +52,13 @@
     )
 
 
-def refuse(work: StageWork, start_seconds: float, detail: str) -> StageAnswer:
+def refusal_answer(work: StageWork, start_seconds: float, detail: str) -> StageAnswer:
     """Return an answer that refuses pieces, with the forecast wait and the reason."""
     refused = PieceResult(PieceOutcome.REFUSED)
     return StageAnswer((refused,) * len(work.pieces), start_seconds, detail)
 
 
-def given_up(stage_items: Sequence[StageItem], now: float) -> dict[str, float]:
+def seconds_since_abandoned(stage_items: Sequence[StageItem], now: float) -> dict[str, float]:
     """Return the calls that cancelled pieces of a batch, and how many seconds ago."""
     return {
         stage_item.order.call_id: round(now - stage_item.abandoned_at, 3)
@@ -67,7 +67,7 @@
     }
 
 
-def outcome_of(failure: SendFailure) -> PieceOutcome:
+def piece_outcome(failure: SendFailure) -> PieceOutcome:
     """Return the outcome of the pieces of a batch without a response."""
     return _OUTCOMES[failure.trouble]
 
@@ -85,7 +85,7 @@
         "service": entry.worker.service,
         "pieces": len(call.stage_items),
         "calls": sorted({stage_item.order.call_id for stage_item in call.stage_items}),
-        "outcome": describe(outcome),
+        "outcome": describe_outcome(outcome),
         "seconds": round(seconds, 3),
         "expected": round(call.expected_seconds, 3),
         "batch": queue.capacity.batch,
@@ -95,7 +95,7 @@
     }
 
 
-def describe(outcome: list[PieceResult] | SendFailure | None) -> str:
+def describe_outcome(outcome: list[PieceResult] | SendFailure | None) -> str:
     """Return the outcomes of the pieces of a call as a log text."""
     if outcome is None:
         return "turned away"
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -20,19 +20,19 @@
 from corkcrank.node.stages.owned_queue import (
     AVOID_SECONDS,
     FULL_BLOCK_SECONDS,
-    LEAST_TIMER_SECONDS,
+    MIN_TIMER_SECONDS,
     OwnedQueue,
     OwnedQueues,
-    hold_back,
-    next_call,
+    block_if_limited,
+    start_call_if_allowed,
 )
 from corkcrank.node.stages.stage_messages import (
     describe_batch,
-    given_up,
-    load_of,
-    outcome_of,
-    refuse,
-    stage_item_of,
+    seconds_since_abandoned,
+    build_stage_load,
+    piece_outcome,
+    refusal_answer,
+    build_stage_item,
 )
 from corkcrank.node.stages.stage_room import StageRoom
 from corkcrank.node.stages.stage_worker_client import StageWorkerClient
@@ -68,7 +68,7 @@
         self._limits = limits
         self._log = log
         self._queues = OwnedQueues(
-            mirror, worker_statistics, lambda entry: self.room.ask(entry.room)
+            mirror, worker_statistics, lambda entry: self.room.request_report(entry.room)
         )
         self.room = StageRoom(caller, limits, log, self._spawn, self._room_changed)
         self.backlog = DownstreamBacklog()
@@ -79,7 +79,7 @@
         self.on_release: Callable[[str, float], None] = lambda step, seconds: None
         self.on_outcome: Callable[[WorkerRecord, CallOutcome], None] = lambda worker, outcome: None
 
-    def queue(self, worker_id: str) -> StageQueue | None:
+    def get_queue(self, worker_id: str) -> StageQueue | None:
         """Return the queue of a worker, or ``None`` if this gateway has none."""
         entry = self._queues.get(worker_id)
         return entry.queue if entry is not None else None
@@ -93,43 +93,43 @@
         """Return whether any piece is queued or running."""
         return any(entry.queue.waiting or entry.queue.at_work for entry in self._queues)
 
-    def loads(self, now: float) -> tuple[StageLoad, ...]:
+    def stage_loads(self, now: float) -> tuple[StageLoad, ...]:
         """Return the loads of the queues that are not idle, for heartbeats."""
         loads = []
         for entry in self._queues:
             if not entry.queue.idle:
-                loads.append(load_of(entry.worker.worker_id, entry.queue, now))
+                loads.append(build_stage_load(entry.worker.worker_id, entry.queue, now))
         return tuple(loads)
 
-    async def make(self, work: StageWork) -> StageAnswer:
+    async def run_pieces(self, work: StageWork) -> StageAnswer:
         """Queue pieces and return their results; on cancellation the pieces are withdrawn."""
         if self._refusing:
-            return refuse(work, 0.0, "owner is stopping")
+            return refusal_answer(work, 0.0, "owner is stopping")
         worker = self._mirror.workers.get(work.worker_id)
         profile = self._mirror.profile(work.service)
         if worker is None or not self._mirror.workers.accepts_work(worker):
-            return refuse(work, 0.0, "worker is unknown, leaving or in an evacuated zone")
+            return refusal_answer(work, 0.0, "worker is unknown, leaving or in an evacuated zone")
         if profile is None or profile.stage is None:
-            return refuse(work, 0.0, "worker is of a service without stages")
+            return refusal_answer(work, 0.0, "worker is of a service without stages")
         now = clock.now()
-        entry, forecast = self._queues.first_free(worker, profile, work, now)
+        entry, forecast = self._queues.queue_with_earliest_end(worker, profile, work, now)
         if forecast.start > work.start_by:
             entry.queue.counters.refused += len(work.pieces)
-            return refuse(work, forecast.start, "too long a wait")
-        stage_items = [stage_item_of(work, piece, now) for piece in work.pieces]
-        self.inputs.add(work, stage_items)
+            return refusal_answer(work, forecast.start, "too long a wait")
+        stage_items = [build_stage_item(work, piece, now) for piece in work.pieces]
+        self.inputs.track(work, stage_items)
         futures = [self._submit(entry, stage_item) for stage_item in stage_items]
-        self._pump(entry)
-        self._offer(entry, profile)
+        self._start_calls(entry)
+        self._offer_to_idle_workers(entry, profile)
         try:
-            with self.backlog.counted(work, now):
+            with self.backlog.count_following(work, now):
                 results = await asyncio.gather(*futures)
         except asyncio.CancelledError:
-            self._abandon(entry, stage_items, futures)
-            self.inputs.ended(stage_items, inputs_missed=False)
+            self._withdraw_pieces(entry, stage_items, futures)
+            self.inputs.discard(stage_items, inputs_missed=False)
             raise
         missed = any(result.outcome is PieceOutcome.INPUT_GONE for result in results)
-        freed = self.inputs.ended(stage_items, inputs_missed=missed)
+        freed = self.inputs.discard(stage_items, inputs_missed=missed)
         return StageAnswer(
             tuple(results),
             forecast.start,
@@ -137,7 +137,7 @@
             short_of_room=entry.queue.short_of_room,
         )
 
-    def free(self, worker_id: str, handles: Sequence[str]) -> None:
+    def free_results(self, worker_id: str, handles: Sequence[str]) -> None:
         """Free results; nothing is sent to a worker that is no longer listed."""
         entry = self._queues.get(worker_id)
         if entry is None:
@@ -145,31 +145,31 @@
             profile = self._mirror.profile(worker.service) if worker is not None else None
             if worker is None or profile is None or profile.stage is None:
                 return
-            entry = self._queues.of(worker, profile)
-        self.room.free(entry.room, handles)
-        self._pump(entry)
+            entry = self._queues.get_or_create(worker, profile)
+        self.room.free_results(entry.room, handles)
+        self._start_calls(entry)
 
-    def workers_changed(self) -> None:
+    def apply_worker_changes(self) -> None:
         """Refuse the pieces queued for workers that no longer accept work."""
         for entry in self._queues:
             worker = self._mirror.workers.get(entry.worker.worker_id)
             entry.room.evacuated = entry.worker.zone in self._mirror.workers.evacuated
             if worker is not None and self._mirror.workers.accepts_work(worker):
                 continue
-            entry.room.ended = self._mirror.workers.replaced(entry.worker)
-            self._give_back(entry)
+            entry.room.restarted = self._mirror.workers.replaced(entry.worker)
+            self._refuse_queued(entry)
             if worker is None and entry.queue.at_work == 0:
-                self._queues.drop(entry)
+                self._queues.remove(entry)
 
     def refuse_pieces(self) -> None:
         """Refuse queued and later pieces, because this gateway is stopping."""
         self._refusing = True
         for entry in self._queues:
-            self._give_back(entry)
+            self._refuse_queued(entry)
 
-    def _give_back(self, entry: OwnedQueue) -> None:
+    def _refuse_queued(self, entry: OwnedQueue) -> None:
         for stage_item in entry.queue.remove_all():
-            self._resolve(stage_item, PieceResult(PieceOutcome.REFUSED))
+            self._set_result(stage_item, PieceResult(PieceOutcome.REFUSED))
 
     async def close(self) -> None:
         """Cancel the running batches and timers."""
@@ -187,7 +187,7 @@
         entry.queue.submit(stage_item)
         return future
 
-    def _abandon(
+    def _withdraw_pieces(
         self,
         entry: OwnedQueue,
         stage_items: list[StageItem],
@@ -204,22 +204,22 @@
             self._futures.pop(id(stage_item), None)
             made = future.done() and not future.cancelled() and future.result().handle
             if made:
-                self.free(future.result().worker_id, [future.result().handle])
+                self.free_results(future.result().worker_id, [future.result().handle])
         # Delayed, because further callers may disconnect at the same time.
         for item in entries:
-            asyncio.get_running_loop().call_later(LEAST_TIMER_SECONDS, self._pump, item)
+            asyncio.get_running_loop().call_later(MIN_TIMER_SECONDS, self._start_calls, item)
 
-    def _pump(self, entry: OwnedQueue) -> None:
+    def _start_calls(self, entry: OwnedQueue) -> None:
         now = clock.now()
         for stage_item in entry.queue.remove_overdue(now):
-            self._resolve(stage_item, PieceResult(PieceOutcome.LATE))
-        hold_back(entry, self._limits, now)
-        self._take_over(entry, now)
-        while (call := next_call(entry, self._limits, now)) is not None:
+            self._set_result(stage_item, PieceResult(PieceOutcome.LATE))
+        block_if_limited(entry, self._limits, now)
+        self._steal_pieces(entry, now)
+        while (call := start_call_if_allowed(entry, self._limits, now)) is not None:
             if entry.queue.room_sufficed:
                 # A piece that finds no free result memory reads its inputs again.
-                self.inputs.begun(call.stage_items)
-            self._spawn(self._run(entry, call))
+                self.inputs.record_begun(call.stage_items)
+            self._spawn(self._run_call(entry, call))
         self._set_timer(entry, now)
 
     def _set_timer(self, entry: OwnedQueue, now: float) -> None:
@@ -228,18 +228,18 @@
             entry.timer = None
         at = entry.queue.next_event_at(now)
         if at is not None:
-            delay = max(LEAST_TIMER_SECONDS, at - now)
-            entry.timer = asyncio.get_running_loop().call_later(delay, self._pump, entry)
+            delay = max(MIN_TIMER_SECONDS, at - now)
+            entry.timer = asyncio.get_running_loop().call_later(delay, self._start_calls, entry)
 
-    def _offer(self, entry: OwnedQueue, profile: ServiceProfile) -> None:
+    def _offer_to_idle_workers(self, entry: OwnedQueue, profile: ServiceProfile) -> None:
         """Let idle workers of the pool steal pieces that are queued for a busy worker."""
         for worker in pool_for_worker(self._mirror.workers, entry.worker).workers:
             if not entry.queue.waiting:
                 return
             if worker.worker_id != entry.worker.worker_id:
-                self._pump(self._queues.of(worker, profile))
+                self._start_calls(self._queues.get_or_create(worker, profile))
 
-    def _take_over(self, entry: OwnedQueue, now: float) -> None:
+    def _steal_pieces(self, entry: OwnedQueue, now: float) -> None:
         """Steal pieces that are queued for busy workers, if this worker is idle and healthy."""
         statistics = self._worker_statistics.get_or_create(entry.worker.worker_id)
         unhealthy = statistics.avoid_until > now or statistics.is_last_resort(repeatable=True)
@@ -250,7 +250,7 @@
             piece.queue.remove(piece.stage_item)
             entry.queue.submit(piece.stage_item)
 
-    def _resolve(self, stage_item: StageItem, result: PieceResult) -> bool:
+    def _set_result(self, stage_item: StageItem, result: PieceResult) -> bool:
         """Set the result of a piece; return whether its caller was still waiting for it."""
         future = self._futures.pop(id(stage_item), None)
         if future is None or future.done():
@@ -258,15 +258,15 @@
         future.set_result(result)
         return True
 
-    async def _run(self, entry: OwnedQueue, call: StageCall) -> None:
+    async def _run_call(self, entry: OwnedQueue, call: StageCall) -> None:
         started = clock.now()
         outcome: list[PieceResult] | SendFailure | None = None
         try:
-            outcome = await self._caller.ask(entry.worker, call, entry.known_handles)
+            outcome = await self._caller.run_call(entry.worker, call, entry.known_handles)
         finally:
-            self._finish(entry, call, outcome, started)
+            self._finish_call(entry, call, outcome, started)
 
-    def _finish(
+    def _finish_call(
         self,
         entry: OwnedQueue,
         call: StageCall,
@@ -276,26 +276,26 @@
         now = clock.now()
         results = outcome if isinstance(outcome, list) else None
         entry.queue.end_call(call, results, now)
-        left = given_up(call.stage_items, now)
+        left = seconds_since_abandoned(call.stage_items, now)
         for since in left.values():
             self.on_release("stages", since)
         record = describe_batch(entry, call, outcome, now - started)
         self._log.write(LogEvent.BATCH_ENDED, given_up=left, **record)
         if outcome is None:
-            self._turned_away(entry, call, now)
+            self._rejected(entry, call, now)
         elif isinstance(outcome, SendFailure):
             self._failed(entry, call, outcome, now)
         else:
             self._succeeded(entry, call, outcome)
-        self._pump(entry)
+        self._start_calls(entry)
 
-    def _turned_away(self, entry: OwnedQueue, call: StageCall, now: float) -> None:
+    def _rejected(self, entry: OwnedQueue, call: StageCall, now: float) -> None:
         """Requeue pieces that a full worker rejected: another owner sends to it too."""
         entry.queue.requeue(call.stage_items)
-        self.inputs.put_back(call.stage_items)
+        self.inputs.record_requeued(call.stage_items)
         entry.queue.block_calls(now, FULL_BLOCK_SECONDS)
         if not self._accepts_work(entry):
-            self.workers_changed()
+            self.apply_worker_changes()
 
     def _accepts_work(self, entry: OwnedQueue) -> bool:
         worker = self._mirror.workers.get(entry.worker.worker_id)
@@ -316,11 +316,11 @@
         )
         if failure.trouble is SendTrouble.REFUSED:
             statistics.record_end(now)
-        outcome = outcome_of(failure)
+        outcome = piece_outcome(failure)
         for stage_item in call.stage_items:
-            self._resolve(stage_item, PieceResult(outcome, worker_id=entry.worker.worker_id))
+            self._set_result(stage_item, PieceResult(outcome, worker_id=entry.worker.worker_id))
         for stage_item in entry.queue.remove_all():
-            self._resolve(stage_item, PieceResult(PieceOutcome.REFUSED))
+            self._set_result(stage_item, PieceResult(PieceOutcome.REFUSED))
 
     def _succeeded(self, entry: OwnedQueue, call: StageCall, results: list[PieceResult]) -> None:
         self.on_outcome(entry.worker, CallOutcome.SERVED)
@@ -328,20 +328,20 @@
         for stage_item, result in zip(call.stage_items, results, strict=True):
             if result.outcome is PieceOutcome.NO_ROOM:
                 entry.queue.requeue([stage_item])
-                self.inputs.put_back([stage_item])
+                self.inputs.record_requeued([stage_item])
                 continue
             made = msgspec.structs.replace(result, worker_id=entry.worker.worker_id)
-            if not self._resolve(stage_item, made) and result.handle:
+            if not self._set_result(stage_item, made) and result.handle:
                 orphans.append(result.handle)
         if orphans:
-            self.free(entry.worker.worker_id, orphans)
+            self.free_results(entry.worker.worker_id, orphans)
         if any(result.outcome is PieceOutcome.NO_ROOM for result in results):
-            self.room.ask(entry.room)
+            self.room.request_report(entry.room)
 
     def _room_changed(self, worker_id: str) -> None:
         entry = self._queues.get(worker_id)
         if entry is not None:
-            self._pump(entry)
+            self._start_calls(entry)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
--- a/src/corkcrank/node/stages/stage_owner_client.py
+++ b/src/corkcrank/node/stages/stage_owner_client.py
@@ -20,7 +20,7 @@
     WithdrawRequest,
 )
 
-WATCH_SECONDS = 0.25
+OWNER_CHECK_SECONDS = 0.25
 """Time between checks whether the owner of requested pieces is suspected to have failed."""
 
 QUESTION_BITS = 48
@@ -40,19 +40,19 @@
         self._peers = peers
         self._random = random_source
         self._tasks: set[asyncio.Task[None]] = set()
-        self.on_wait: Callable[[str], None] = lambda owner: None
-        self.on_unused: Callable[[StageAnswer], None] = lambda answer: None
+        self.on_waiting: Callable[[str], None] = lambda owner: None
+        self.on_unused_answer: Callable[[StageAnswer], None] = lambda answer: None
 
-    async def make(self, owner: str, address: str, work: StageWork) -> StageAnswer:
+    async def request_pieces(self, owner: str, address: str, work: StageWork) -> StageAnswer:
         """Have an owner run pieces; on cancellation their results are freed."""
         work = msgspec.structs.replace(work, question=1 + self._random.getrandbits(QUESTION_BITS))
         request = asyncio.create_task(
             self._peers.request(address, PIECES_PATH, msgspec.msgpack.encode(work))
         )
         try:
-            await self._answered_or_lost(owner, request)
+            await self._wait_for_answer(owner, request)
         except asyncio.CancelledError:
-            self._give_up(address, work, request)
+            self._cancel_question(address, work, request)
             raise
         finally:
             if not request.done():
@@ -69,32 +69,34 @@
             return StageAnswer((lost,) * len(work.pieces), 0.0, f"owner {owner} is lost")
         return answer
 
-    def free(
+    def free_results(
         self,
         address: str,
         worker_id: str,
         handles: tuple[str, ...],
-        otherwise: Callable[[], None],
+        on_unreachable: Callable[[], None],
     ) -> None:
         """Free results at an owner; ``otherwise`` is called if the owner is unreachable."""
-        self._spawn(self._free(address, FreeResults(worker_id, handles), otherwise))
+        self._spawn(
+            self._send_free_message(address, FreeResults(worker_id, handles), on_unreachable)
+        )
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_for_messages(self, seconds: float) -> None:
         """Wait at most ``seconds`` for the messages to owners that are in flight."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=seconds)
 
-    async def _answered_or_lost(
+    async def _wait_for_answer(
         self, owner: str, request: asyncio.Task[bytes | PeerFailure]
     ) -> None:
         """Wait until an owner has answered or is suspected to have failed."""
         while not request.done():
-            await asyncio.wait({request}, timeout=WATCH_SECONDS)
-            self.on_wait(owner)
+            await asyncio.wait({request}, timeout=OWNER_CHECK_SECONDS)
+            self.on_waiting(owner)
             if self._fleet.is_suspected(owner, clock.now()):
                 return
 
-    def _give_up(
+    def _cancel_question(
         self, address: str, work: StageWork, request: asyncio.Task[bytes | PeerFailure]
     ) -> None:
         """Free the results of a cancelled question, or withdraw it at its owner.
@@ -103,24 +105,24 @@
         Results of an answer in transit would occupy memory for seconds without the withdrawal.
         """
         if not request.done() or request.cancelled():
-            self._spawn(self._withdraw(address, work.question))
+            self._spawn(self._send_withdrawal(address, work.question))
             return
         answer = decode_answer(request.result(), StageAnswer)
         if not isinstance(answer, PeerFailure):
-            self.on_unused(answer)
+            self.on_unused_answer(answer)
 
-    async def _withdraw(self, address: str, question: int) -> None:
+    async def _send_withdrawal(self, address: str, question: int) -> None:
         """Withdraw a question; a failed owner has lost the handles of its results as well."""
         message = msgspec.msgpack.encode(WithdrawRequest(question))
         await self._peers.request(address, WITHDRAW_PATH, message, retry_on_silence=True)
 
-    async def _free(
-        self, address: str, results: FreeResults, otherwise: Callable[[], None]
+    async def _send_free_message(
+        self, address: str, results: FreeResults, on_unreachable: Callable[[], None]
     ) -> None:
         message = msgspec.msgpack.encode(results)
         answer = await self._peers.request(address, FREE_PATH, message, retry_on_silence=True)
         if isinstance(answer, PeerFailure):
-            otherwise()
+            on_unreachable()
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
--- a/src/corkcrank/node/stages/stage_placing.py
+++ b/src/corkcrank/node/stages/stage_placing.py
@@ -24,7 +24,9 @@
 
     def longest_next_wait(zone: str) -> float:
         waits = [
-            dispatch.wait_in_zone(item.service, zone, next_urgency, count, float(item.result_bytes))
+            dispatch.shortest_wait_in_zone(
+                item.service, zone, next_urgency, count, float(item.result_bytes)
+            )
             for item, count in next_stages
         ]
         return max(waits, default=0.0)
--- a/src/corkcrank/node/stages/stage_room.py
+++ b/src/corkcrank/node/stages/stage_room.py
@@ -18,11 +18,11 @@
 from corkcrank.node.stages.stage_worker_client import StageWorkerClient
 from corkcrank.scheduling.stage_queue import StageQueue
 
-FREE_SHARE = 4.0
+CALLS_PER_FREE_MESSAGE = 4.0
 """Calls that a rate-limited worker may be sent between two messages that free results. Those
 messages count as requests too, but take no slot."""
 
-LONGEST_FREE_SECONDS = 2.0
+MAX_FREE_INTERVAL_SECONDS = 2.0
 """Maximum time between two messages that free results; unfreed results expire after seconds."""
 
 Spawn = Callable[[Coroutine[None, None, None]], asyncio.Task[None]]
@@ -39,16 +39,16 @@
 
     worker: WorkerRecord
     queue: StageQueue
-    to_free: list[str] = field(default_factory=list)
-    freeing: bool = False
-    asking: bool = False
-    ended: bool = False
+    handles_to_free: list[str] = field(default_factory=list)
+    free_in_flight: bool = False
+    report_in_flight: bool = False
+    restarted: bool = False
     evacuated: bool = False
 
     @property
     def reachable(self) -> bool:
         """Return whether messages may be sent to the worker."""
-        return not self.ended and not self.evacuated
+        return not self.restarted and not self.evacuated
 
 
 class StageRoom:
@@ -72,38 +72,40 @@
         self._log = log
         self._spawn = spawn
         self._on_change = on_change
-        self._freeing: set[asyncio.Task[None]] = set()
+        self._free_tasks: set[asyncio.Task[None]] = set()
         self._closed = False
         self.on_unreadable: UnreadableListener = ignore_unreadable
 
-    def free(self, room: WorkerRoom, handles: Sequence[str]) -> None:
+    def free_results(self, room: WorkerRoom, handles: Sequence[str]) -> None:
         """Free results; while a message is in flight, later ones collect for the next."""
         now = clock.now()
         for handle in handles:
             room.queue.free_result(handle, now)
-        room.to_free.extend(handles)
+        room.handles_to_free.extend(handles)
         if room.evacuated:
-            room.to_free.clear()
-        elif room.to_free and room.reachable and not room.freeing and not self._closed:
-            room.freeing = True
+            room.handles_to_free.clear()
+        elif (
+            room.handles_to_free and room.reachable and not room.free_in_flight and not self._closed
+        ):
+            room.free_in_flight = True
             task = self._spawn(self._send_frees(room))
-            self._freeing.add(task)
-            task.add_done_callback(self._freeing.discard)
+            self._free_tasks.add(task)
+            task.add_done_callback(self._free_tasks.discard)
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_for_free_messages(self, seconds: float) -> None:
         """Wait at most ``seconds`` for the messages in flight."""
-        if self._freeing:
-            await asyncio.wait(set(self._freeing), timeout=seconds)
+        if self._free_tasks:
+            await asyncio.wait(set(self._free_tasks), timeout=seconds)
 
-    def ask(self, room: WorkerRoom) -> None:
+    def request_report(self, room: WorkerRoom) -> None:
         """Request a memory report from a worker, unless such a request is in flight.
 
         A rate-limited worker is not asked: its limit is better spent on calls.
         """
         limited = self._limits.interval(room.worker, clock.now()) > 0
-        if room.reachable and not room.asking and not limited and not self._closed:
-            room.asking = True
-            self._spawn(self._learn(room))
+        if room.reachable and not room.report_in_flight and not limited and not self._closed:
+            room.report_in_flight = True
+            self._spawn(self._fetch_report(room))
 
     def close(self) -> None:
         """Stop sending messages: the connections to workers are about to close."""
@@ -111,24 +113,24 @@
 
     async def _send_frees(self, room: WorkerRoom) -> None:
         try:
-            while room.to_free and room.reachable:
-                handles, room.to_free = room.to_free, []
-                await self._caller.free(room.worker, handles)
-                pause = FREE_SHARE * self._limits.interval(room.worker, clock.now())
+            while room.handles_to_free and room.reachable:
+                handles, room.handles_to_free = room.handles_to_free, []
+                await self._caller.free_results(room.worker, handles)
+                pause = CALLS_PER_FREE_MESSAGE * self._limits.interval(room.worker, clock.now())
                 if pause:
-                    await asyncio.sleep(min(pause, LONGEST_FREE_SECONDS))
+                    await asyncio.sleep(min(pause, MAX_FREE_INTERVAL_SECONDS))
         finally:
-            room.freeing = False
+            room.free_in_flight = False
 
-    async def _learn(self, room: WorkerRoom) -> None:
+    async def _fetch_report(self, room: WorkerRoom) -> None:
         try:
-            report = await self._caller.report(room.worker)
+            report = await self._caller.fetch_report(room.worker)
         finally:
-            room.asking = False
+            room.report_in_flight = False
         if report is None:
             return
         if isinstance(report, Unreadable):
-            self._note_unreadable(room.worker, report)
+            self._record_unreadable(room.worker, report)
         elif room.worker.born not in (None, report.born):
             self._log.write(
                 LogEvent.REPORT_OUTDATED,
@@ -137,13 +139,13 @@
                 born=report.born,
             )
         else:
-            self._take(room, report)
+            self._apply_report(room, report)
 
-    def _note_unreadable(self, worker: WorkerRecord, report: Unreadable) -> None:
+    def _record_unreadable(self, worker: WorkerRecord, report: Unreadable) -> None:
         document = UnreadableDocument(DocumentKind.REPORT, worker.worker_id, report.reason)
         self.on_unreadable(document)
 
-    def _take(self, room: WorkerRoom, report: StageWorkerReport) -> None:
+    def _apply_report(self, room: WorkerRoom, report: StageWorkerReport) -> None:
         queue = room.queue
         queue.apply_reported_free_room(report.free_bytes, clock.now())
         self._log.write(
--- a/src/corkcrank/node/stages/stage_round.py
+++ b/src/corkcrank/node/stages/stage_round.py
@@ -22,13 +22,13 @@
         return {result.outcome for result in self.answer.results}
 
     @property
-    def inputs_gone(self) -> bool:
+    def inputs_unavailable(self) -> bool:
         """Return whether pieces that were not completed would find no inputs on a retry."""
         missing = self.outcomes != {PieceOutcome.DONE}
         return PieceOutcome.INPUT_GONE in self.outcomes or (self.answer.inputs_freed and missing)
 
 
-def gone_detail(rounds: Sequence[StageRound]) -> str:
+def describe_unavailable_inputs(rounds: Sequence[StageRound]) -> str:
     """Describe the outcomes of pieces without inputs, and whether those were freed or lost."""
     outcomes = sorted({outcome.value for item in rounds for outcome in item.outcomes})
     freed = any(item.answer.inputs_freed for item in rounds)
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -15,20 +15,20 @@
 )
 from corkcrank.node.stages.held_results import HeldResults
 from corkcrank.node.stages.stage_dispatch import StageDispatch
-from corkcrank.node.stages.stage_failures import InputsGoneError, StageFailedError
+from corkcrank.node.stages.stage_failures import InputsUnavailableError, StageFailedError
 from corkcrank.node.stages.stage_placing import stage_placing, urgency_at
-from corkcrank.node.stages.stage_round import StageRound, gone_detail
+from corkcrank.node.stages.stage_round import StageRound, describe_unavailable_inputs
 from corkcrank.node.workers.crash_watch import CrashWatch
 from corkcrank.scheduling.call_admission import MAX_IDLE_WAIT_SECONDS, MAX_OVERRUN_DEVIATIONS
 from corkcrank.scheduling.stage_plan import StagePlan
 
-MAXIMUM_ROUNDS = 4
+MAX_ROUNDS = 4
 """Maximum number of times that the pieces of one stage are placed before the call fails."""
 
 ROUND_PAUSE_SECONDS = 0.05
 """Pause before pieces that were not completed are placed again."""
 
-_NOT_MADE = (PieceOutcome.REFUSED, PieceOutcome.FAILED, PieceOutcome.BROKEN)
+_UNFINISHED_OUTCOMES = (PieceOutcome.REFUSED, PieceOutcome.FAILED, PieceOutcome.BROKEN)
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     crash_watch: CrashWatch
     log: DecisionLog
     zone: str
-    rest_seconds: float
+    seconds_after_stages: float
     spread_seconds: float
     returning: bool = False
     started: bool = False
@@ -63,7 +63,7 @@
     shortest_wait: float = float("inf")
     _held: HeldResults = field(default_factory=HeldResults)
     _begun: bool = False
-    _made_again: bool = False
+    _was_rerun: bool = False
     _short_of_room: set[int] = field(default_factory=set)
     """Stages at whose workers other pieces wait for result memory."""
 
@@ -78,12 +78,12 @@
         while True:
             try:
                 return await self._run_once()
-            except InputsGoneError as gone:
-                if self._made_again:
+            except InputsUnavailableError as gone:
+                if self._was_rerun:
                     raise StageFailedError(
                         gone.detail, started=self.started, retry_after=gone.retry_after
                     ) from None
-                self._made_again = True
+                self._was_rerun = True
                 self.log.write(
                     LogEvent.STAGES_MADE_AGAIN, call=self.call.call_id, detail=gone.detail
                 )
@@ -99,7 +99,7 @@
                 done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     self.plan.record_results(tasks.pop(task), task.result())
-                self._free(self.plan.release_consumed_results())
+                self._free_handles(self.plan.release_consumed_results())
         finally:
             await _cancel(list(tasks))
         return self.plan.final_handles()
@@ -133,60 +133,62 @@
         self.plan.release_all_results()
         self._free_all()
 
-    def _free(self, handles: list[str]) -> None:
-        if held := self._held.take(handles):
-            self.dispatch.free(held)
+    def _free_handles(self, handles: list[str]) -> None:
+        if held := self._held.remove(handles):
+            self.dispatch.free_results(held)
 
     def _free_all(self) -> None:
-        if held := self._held.take_all():
-            self.dispatch.free(held)
+        if held := self._held.remove_all():
+            self.dispatch.free_results(held)
 
     async def _run_stage(self, stage: int, announcement: _Announcement) -> tuple[str, ...]:
         count = self.plan.counts[stage]
         handles: dict[int, str] = {}
         refused: set[str] = set()
         detail, wait = "", 0.0
-        for attempt in range(MAXIMUM_ROUNDS):
+        for attempt in range(MAX_ROUNDS):
             missing = [piece for piece in range(count) if piece not in handles]
             if attempt:
                 await asyncio.sleep(ROUND_PAUSE_SECONDS)
             if wait := await self.crash_watch.wait_for_verdict(self.call):
                 raise StageFailedError("quarantined", started=self.started, retry_after=wait)
-            rounds = await self._place(stage, missing, refused, announcement)
+            rounds = await self._place_pieces(stage, missing, refused, announcement)
             announcement = replace(announcement, begins=False)
             for item in rounds:
                 detail, wait = item.answer.detail or detail, item.answer.start_seconds
-                self._take(item, handles, refused)
+                self._apply_round(item, handles, refused)
             if len(handles) == count:
                 return tuple(handles[piece] for piece in range(count))
-            if self._hopeless(rounds):
+            if self._retry_is_useless(rounds):
                 break
         if self.shortest_wait < float("inf"):
             wait = self.shortest_wait
-        if any(item.inputs_gone for item in rounds):
-            raise InputsGoneError(gone_detail(rounds), started=self.started, retry_after=wait)
+        if any(item.inputs_unavailable for item in rounds):
+            raise InputsUnavailableError(
+                describe_unavailable_inputs(rounds), started=self.started, retry_after=wait
+            )
         raise StageFailedError(
             detail or f"stage {stage} was not made", started=self.started, retry_after=wait
         )
 
-    def _hopeless(self, rounds: list[StageRound]) -> bool:
+    def _retry_is_useless(self, rounds: list[StageRound]) -> bool:
         outcomes = {result.outcome for item in rounds for result in item.answer.results}
-        if any(item.inputs_gone for item in rounds) or clock.now() >= self.call.end_at:
+        if any(item.inputs_unavailable for item in rounds) or clock.now() >= self.call.end_at:
             return True
         return not self.started and (not rounds or PieceOutcome.LATE in outcomes)
 
-    def _take(self, item: StageRound, handles: dict[int, str], refused: set[str]) -> None:
+    def _apply_round(self, item: StageRound, handles: dict[int, str], refused: set[str]) -> None:
         for piece, result in zip(item.pieces, item.answer.results, strict=True):
             if result.outcome is PieceOutcome.DONE:
                 handles[piece] = result.handle
                 self.started = True
-            elif result.outcome in _NOT_MADE:
+            elif result.outcome in _UNFINISHED_OUTCOMES:
                 refused.add(item.worker.worker_id)
             if result.outcome in (PieceOutcome.FAILED, PieceOutcome.BROKEN):
                 self.started = True
-        self._look_at_broken(item)
+        self._report_connection_failures(item)
 
-    def _look_at_broken(self, item: StageRound) -> None:
+    def _report_connection_failures(self, item: StageRound) -> None:
         """Report connection failures of workers under this call's pieces to the crash watch."""
         broken = {
             result.worker_id
@@ -194,11 +196,11 @@
             if result.outcome is PieceOutcome.BROKEN
         }
         for worker_id in broken:
-            worker = self.dispatch.worker(worker_id)
+            worker = self.dispatch.get_worker(worker_id)
             if worker is not None:
                 self.crash_watch.record_connection_failure(self.call, worker)
 
-    async def _place(
+    async def _place_pieces(
         self,
         stage: int,
         missing: list[int],
@@ -207,7 +209,7 @@
     ) -> list[StageRound]:
         """Place pieces in batches, each at the worker with the earliest forecast end."""
         definition = self.plan.definition(stage)
-        capacity = self.dispatch.capacity(definition.service)
+        capacity = self.dispatch.service_capacity(definition.service)
         if capacity is None:
             return []
         placings = []
@@ -229,19 +231,19 @@
         placing = stage_placing(self.plan, self.dispatch, self.call, stage, len(pieces))
         placing = replace(
             placing,
-            end_by=placing.end_by - self.rest_seconds,
+            end_by=placing.end_by - self.seconds_after_stages,
             inputs=self._input_bytes(stage, len(pieces)),
             reader_zone=self.zone if not self.plan.reader_stages(stage) else "",
         )
-        choice = self.dispatch.choose(placing, refused)
+        choice = self.dispatch.choose_worker(placing, refused)
         if choice is None and refused:
             refused.clear()
-            choice = self.dispatch.choose(placing, refused)
+            choice = self.dispatch.choose_worker(placing, refused)
         if choice is None:
             return None
         worker, forecast = choice
         now = clock.now()
-        if not self.started and forecast.start > self._start_by(now):
+        if not self.started and forecast.start > self._max_wait(now):
             self.shortest_wait = min(self.shortest_wait, forecast.start)
             return None
         self.log.write(
@@ -266,26 +268,26 @@
             inputs=self.plan.input_handles(stage),
             result_bytes=placing.size,
             urgency=self._urgency(stage),
-            start_by=self._start_by(now),
+            start_by=self._max_wait(now),
             remaining=clock.at_least_a_moment(self.call.end_at - now),
             following=announcement.following,
             begins=announcement.begins,
             alone=self.crash_watch.is_suspected(self.call),
-            last_reads=self._last_reads(stage, len(pieces)),
+            last_reads=self._results_read_last(stage, len(pieces)),
         )
-        answer = await self.dispatch.make(worker, work)
+        answer = await self.dispatch.run_pieces(worker, work)
         if answer.short_of_room:
             self._short_of_room.add(stage)
         if answer.inputs_freed:
             for read in work.last_reads:
-                self._held.take(read.handles)
+                self._held.remove(read.handles)
         for result in answer.results:
             if result.handle:
-                maker = self.dispatch.worker(result.worker_id)
+                maker = self.dispatch.get_worker(result.worker_id)
                 self._held.add(result.handle, maker or worker)
         return StageRound(worker, pieces, answer)
 
-    def _last_reads(self, stage: int, pieces: int) -> tuple[FreeResults, ...]:
+    def _results_read_last(self, stage: int, pieces: int) -> tuple[FreeResults, ...]:
         """Return the results of which these pieces are the last readers, by worker.
 
         Returns none if no piece waits for their memory: after an early release, a failed worker
@@ -300,23 +302,23 @@
             if source in self._short_of_room and self.plan.reader_stages(source) == [stage]
         ]
         handles = [handle for source in only_here for handle in self.plan.result_handles(source)]
-        return self._held.by_worker(handles)
+        return self._held.group_by_worker(handles)
 
     def _input_bytes(self, stage: int, pieces: int) -> dict[str, float]:
         """Return the bytes that pieces of a stage fetch, by the zone in which they are stored."""
         inputs: dict[str, float] = {}
         for source in self.plan.definition(stage).after:
             size = pieces * self.plan.definition(source).result_bytes
-            for zone, count in self._held.by_zone(self.plan.result_handles(source)).items():
+            for zone, count in self._held.count_by_zone(self.plan.result_handles(source)).items():
                 inputs[zone] = inputs.get(zone, 0.0) + count * size
         return inputs
 
     def _urgency(self, stage: int) -> Urgency:
         """Return the urgency at a stage: the rank, and the seconds until the stages must end."""
-        seconds_left = self.call.objective_at - clock.now() - self.rest_seconds
+        seconds_left = self.call.objective_at - clock.now() - self.seconds_after_stages
         return urgency_at(self.plan, stage, Urgency(self.call.rank, round(seconds_left, 3)))
 
-    def _start_by(self, now: float) -> float:
+    def _max_wait(self, now: float) -> float:
         """Return the maximum wait in seconds after which pieces may still start.
 
         Before any work has begun, a start must still meet the objective. Later, a call is
@@ -329,7 +331,7 @@
             limit += MAX_OVERRUN_DEVIATIONS * self.spread_seconds
         limit = min(limit, self.call.end_at)
         minimum = MAX_IDLE_WAIT_SECONDS if self.started or self.returning else 0.0
-        return max(minimum, limit - now - self.rest_seconds)
+        return max(minimum, limit - now - self.seconds_after_stages)
 
 
 async def _cancel(tasks: list[asyncio.Task[tuple[str, ...]]]) -> None:
--- a/src/corkcrank/node/stages/stage_worker_client.py
+++ b/src/corkcrank/node/stages/stage_worker_client.py
@@ -32,10 +32,10 @@
 REPORT_SECONDS = 0.2
 """Timeout of a report: many round trips, and less than a usual call."""
 
-KNOWN_HANDLES = 512
+MAX_KNOWN_HANDLES = 512
 """Handles stored for each worker, to distinguish a duplicate answer from a new one."""
 
-TURNED_AWAY_STATUS = 503
+REJECTED_STATUS = 503
 """Status of a worker that is at capacity and has not run the call."""
 
 
@@ -49,7 +49,7 @@
         self._client = client
         self._statements = statements
 
-    async def ask(
+    async def run_call(
         self, worker: WorkerRecord, call: StageCall, known_handles: dict[str, None]
     ) -> list[PieceResult] | SendFailure | None:
         """Return results, a failure, or ``None`` if the worker rejected the call unexecuted.
@@ -57,28 +57,32 @@
         An answer with a known handle belongs to an earlier call.
         """
         now = clock.now()
-        orders = [_remaining(stage_item, now) for stage_item in call.stage_items]
+        orders = [_order_with_remaining_time(stage_item, now) for stage_item in call.stage_items]
         limit = CALL_TIME_FACTOR * call.expected_seconds + CALL_TIME_MARGIN
-        response = await self._open(
+        response = await self._send_request(
             worker, "POST", self._codec.run_path, self._codec.encode_run(orders), limit
         )
         if isinstance(response, SendFailure):
             return response
-        return await self._read(response, len(orders), known_handles, limit)
+        return await self._read_results(response, len(orders), known_handles, limit)
 
-    async def free(self, worker: WorkerRecord, handles: Sequence[str]) -> None:
+    async def free_results(self, worker: WorkerRecord, handles: Sequence[str]) -> None:
         """Free results; if that fails, they expire at the worker."""
         body = self._codec.encode_free(handles)
-        response = await self._open(worker, "POST", self._codec.free_path, body, CALL_TIME_MARGIN)
+        response = await self._send_request(
+            worker, "POST", self._codec.free_path, body, CALL_TIME_MARGIN
+        )
         if not isinstance(response, SendFailure):
             await self._client.read_body(response, CALL_TIME_MARGIN)
 
-    async def report(self, worker: WorkerRecord) -> StageWorkerReport | Unreadable | None:
+    async def fetch_report(self, worker: WorkerRecord) -> StageWorkerReport | Unreadable | None:
         """Return a worker's memory report, or ``None`` if it did not answer.
 
         An answer that cannot be decoded is returned as :class:`Unreadable`.
         """
-        response = await self._open(worker, "GET", self._codec.report_path, b"", REPORT_SECONDS)
+        response = await self._send_request(
+            worker, "GET", self._codec.report_path, b"", REPORT_SECONDS
+        )
         if isinstance(response, SendFailure):
             return None
         body = await self._client.read_body(response, REPORT_SECONDS)
@@ -86,7 +90,7 @@
             return None
         return self._codec.decode_report(body)
 
-    async def _open(
+    async def _send_request(
         self, worker: WorkerRecord, method: str, path: str, body: bytes, seconds: float
     ) -> aiohttp.ClientResponse | SendFailure:
         """Send a request, and record what the response headers state about the worker."""
@@ -98,7 +102,7 @@
             self._statements.record_response(worker, response.status, response.headers)
         return response
 
-    async def _read(
+    async def _read_results(
         self,
         response: aiohttp.ClientResponse,
         count: int,
@@ -106,7 +110,7 @@
         limit: float,
     ) -> list[PieceResult] | SendFailure | None:
         body = await self._client.read_body(response, limit)
-        if response.status == TURNED_AWAY_STATUS:
+        if response.status == REJECTED_STATUS:
             return None
         results = self._codec.decode_run(body, count) if body is not None else None
         if response.status != HTTPStatus.OK or results is None:
@@ -115,19 +119,19 @@
         if any(item.handle in known_handles for item in results if item.handle):
             response.close()
             return SendFailure(SendTrouble.UNKNOWN, "answer to an earlier call")
-        _remember(known_handles, results)
+        _record_handles(known_handles, results)
         return results
 
 
-def _remember(known_handles: dict[str, None], results: list[PieceResult]) -> None:
+def _record_handles(known_handles: dict[str, None], results: list[PieceResult]) -> None:
     for result in results:
         if result.handle:
             known_handles[result.handle] = None
-    while len(known_handles) > KNOWN_HANDLES:
+    while len(known_handles) > MAX_KNOWN_HANDLES:
         del known_handles[next(iter(known_handles))]
 
 
-def _remaining(stage_item: StageItem, now: float) -> PieceOrder:
+def _order_with_remaining_time(stage_item: StageItem, now: float) -> PieceOrder:
     order = stage_item.order
     remaining = clock.at_least_a_moment(stage_item.end_at - now)
     return PieceOrder(order.call_id, order.stage, order.piece, order.key, order.inputs, remaining)
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -168,7 +168,9 @@
     def _expected(self, stage: int, reader_zone: str) -> StageForecast | None:
         dispatch = self._services.dispatch
         placing = stage_placing(self._plan, dispatch, self._call, stage, self._plan.counts[stage])
-        return dispatch.expected(replace(placing, reader_zone=reader_zone, next_stage_wait=None))
+        return dispatch.forecast_future_pieces(
+            replace(placing, reader_zone=reader_zone, next_stage_wait=None)
+        )
 
     def _log_refusal(self, verdict: AdmissionVerdict) -> None:
         self._services.log.write(
--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -183,7 +183,7 @@
     """
     async with pair(asyncio.Event()) as two:
         # The owner knows its worker, so that nothing but the close is in the way.
-        two.owner.stage_owner.free(two.encode.worker_id, [])
+        two.owner.stage_owner.free_results(two.encode.worker_id, [])
         await until(lambda: two.encode.reports > 0)
         left_at = clock.now()
         for _ in range(5):
@@ -223,14 +223,14 @@
     async with pair(gate) as two:
         host, port = two.owner.fleet.local_address.rsplit(":", 1)
         with socket.create_connection((host, int(port))) as asker:
-            make = two.owner.stage_owner.make
+            make = two.owner.stage_owner.run_pieces
 
             async def make_and_lose_asker(work: StageWork) -> StageAnswer:
                 answer = await make(work)
                 asker.close()
                 return answer
 
-            two.owner.stage_owner.make = make_and_lose_asker  # type: ignore[method-assign]
+            two.owner.stage_owner.run_pieces = make_and_lose_asker  # type: ignore[method-assign]
             asker.sendall(pieces_request(two.encode))
             await until(lambda: len(two.encode.calls) == 1)
             gate.set()
@@ -244,9 +244,9 @@
     gate.set()
     async with pair(gate) as two:
         dispatch = two.running.nodes[two.other].services.dispatch
-        worker = dispatch.worker(two.encode.worker_id)
+        worker = dispatch.get_worker(two.encode.worker_id)
         assert worker is not None
-        post = dispatch.owners._peers.request
+        post = dispatch.owner_client._peers.request
 
         async def post_and_cancel(
             address: str, path: str, message: bytes | None = None, **options: Any
@@ -257,8 +257,8 @@
                 asyncio.get_running_loop().call_soon(call.cancel)
             return body
 
-        dispatch.owners._peers.request = post_and_cancel  # type: ignore[method-assign, assignment]
-        call = asyncio.create_task(dispatch.make(worker, piece_work(two.encode)))
+        dispatch.owner_client._peers.request = post_and_cancel  # type: ignore[method-assign, assignment]
+        call = asyncio.create_task(dispatch.run_pieces(worker, piece_work(two.encode)))
         with pytest.raises(asyncio.CancelledError):
             await call
         assert len(two.encode.made) == 2
@@ -275,9 +275,9 @@
     gate.set()
     async with pair(gate) as two:
         dispatch = two.running.nodes[two.other].services.dispatch
-        worker = dispatch.worker(two.encode.worker_id)
+        worker = dispatch.get_worker(two.encode.worker_id)
         assert worker is not None
-        post, written = dispatch.owners._peers.request, asyncio.Event()
+        post, written = dispatch.owner_client._peers.request, asyncio.Event()
 
         async def post_to_a_slow_link(
             address: str, path: str, message: bytes | None = None, **options: Any
@@ -288,8 +288,8 @@
                 await asyncio.Event().wait()
             return body
 
-        dispatch.owners._peers.request = post_to_a_slow_link  # type: ignore[method-assign, assignment]
-        call = asyncio.create_task(dispatch.make(worker, piece_work(two.encode)))
+        dispatch.owner_client._peers.request = post_to_a_slow_link  # type: ignore[method-assign, assignment]
+        call = asyncio.create_task(dispatch.run_pieces(worker, piece_work(two.encode)))
         await written.wait()
         assert len(two.encode.held) == 2
         call.cancel()
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -168,8 +168,8 @@
     for task in node._loops:
         task.cancel()
     node.heartbeats.close()
-    node.stage_owner._pump = lambda entry: None  # type: ignore[method-assign]
-    node.stage_owner._resolve = lambda entry, stage_item, result: None  # type: ignore[method-assign]
+    node.stage_owner._start_calls = lambda entry: None  # type: ignore[method-assign]
+    node.stage_owner._set_result = lambda entry, stage_item, result: None  # type: ignore[method-assign]
 
 
 async def die(node: Node) -> None:
--- a/tests/platform/test_recent_answers.py
+++ b/tests/platform/test_recent_answers.py
@@ -9,7 +9,11 @@
 
 from corkcrank.links.platform_ports import PieceOutcome, PieceResult
 from corkcrank.node.peers.peer_protocol import StageAnswer
-from corkcrank.node.stages.recent_answers import KEPT_SECONDS, MOST_KEPT, RecentAnswers
+from corkcrank.node.stages.recent_answers import (
+    MAX_WITHDRAWAL_SECONDS,
+    MAX_RECENT_ANSWERS,
+    RecentAnswers,
+)
 
 
 def answer(question: int) -> StageAnswer:
@@ -33,21 +37,26 @@
     for step, question, pause in steps:
         now += pause
         if step == "answered" and question not in answered:
-            wanted = recent.note_answered(question, answer(question), now)
-            recently = now - taken_back.get(question, -KEPT_SECONDS * 2) <= KEPT_SECONDS
+            wanted = recent.record_answer(question, answer(question), now)
+            recently = (
+                now - taken_back.get(question, -MAX_WITHDRAWAL_SECONDS * 2)
+                <= MAX_WITHDRAWAL_SECONDS
+            )
             assert wanted is not recently
             answered[question] = now
         elif step == "taken back" and question not in taken_back:
-            freed = recent.take_back(question, now)
-            recently = now - answered.get(question, -KEPT_SECONDS * 2) <= KEPT_SECONDS
+            freed = recent.withdraw_question(question, now)
+            recently = (
+                now - answered.get(question, -MAX_WITHDRAWAL_SECONDS * 2) <= MAX_WITHDRAWAL_SECONDS
+            )
             assert freed == (answer(question) if recently else None)
             taken_back[question] = now
 
 
 def test_the_number_of_stored_answers_is_bounded() -> None:
     recent = RecentAnswers()
-    for question in range(1, MOST_KEPT + 10):
-        assert recent.note_answered(question, answer(question), 0.0)
-    assert len(recent._entries) <= MOST_KEPT
-    assert recent.take_back(1, 0.0) is None, "the oldest answer is removed first"
-    assert recent.take_back(MOST_KEPT, 0.0) == answer(MOST_KEPT)
+    for question in range(1, MAX_RECENT_ANSWERS + 10):
+        assert recent.record_answer(question, answer(question), 0.0)
+    assert len(recent._entries) <= MAX_RECENT_ANSWERS
+    assert recent.withdraw_question(1, 0.0) is None, "the oldest answer is removed first"
+    assert recent.withdraw_question(MAX_RECENT_ANSWERS, 0.0) == answer(MAX_RECENT_ANSWERS)
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -119,10 +119,10 @@
         await until(lambda: bool(rerank.calls))
         old = node.mirror.workers.named(encode.worker_id)
         assert old is not None
-        assert node.stage_owner.queue(old.worker_id) is not None
+        assert node.stage_owner.get_queue(old.worker_id) is not None
         restart(running, encode, "encode")
         await until(lambda: known_start(node, encode.worker_id) == SECOND_START)
-        assert node.stage_owner.queue(old.worker_id) is None
+        assert node.stage_owner.get_queue(old.worker_id) is None
         assert rerank.gate is not None
         rerank.gate.set()
         response = await call
@@ -140,8 +140,8 @@
         old = node.mirror.workers.named(encode.worker_id)
         assert old is not None
         calls = [asyncio.create_task(running.call("/staged/x", headers=PIECES)) for _ in range(3)]
-        await until(lambda: node.stage_owner.queue(old.worker_id) is not None)
-        queue = node.stage_owner.queue(old.worker_id)
+        await until(lambda: node.stage_owner.get_queue(old.worker_id) is not None)
+        queue = node.stage_owner.get_queue(old.worker_id)
         assert queue is not None
         await until(lambda: queue.waiting == 2)
         restart(running, encode, "encode")
@@ -155,8 +155,8 @@
             await response.read()
         entry = node.stage_owner._queues.get(old.worker_id)
         assert entry is not None
-        await until(lambda: len(entry.room.to_free) == 1 and len(encode.held) == 1)
-        assert encode.held == set(entry.room.to_free)
+        await until(lambda: len(entry.room.handles_to_free) == 1 and len(encode.held) == 1)
+        assert encode.held == set(entry.room.handles_to_free)
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
         assert encode.reports == 1
         record = running.nodes[0].mirror.workers.named(encode.worker_id)
         assert record is not None
-        await until(lambda: not any(entry.room.asking for entry in stage_owner._queues))
+        await until(lambda: not any(entry.room.report_in_flight for entry in stage_owner._queues))
         assert applied_for == ([record.worker_id] if booked else [])
 
 
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -191,7 +191,11 @@
     async with linked_worker(answer_head_only) as (client, link):
         caller = StageWorkerClient(PlatformStageCodec(), client, empty_statements())
         worker = stage_worker(link.address)
-        work = caller.free(worker, ["handle"]) if what == "free" else caller.report(worker)
+        work = (
+            caller.free_results(worker, ["handle"])
+            if what == "free"
+            else caller.fetch_report(worker)
+        )
         limit = CALL_TIME_MARGIN if what == "free" else REPORT_SECONDS
         async with asyncio.timeout(2 * limit + SLACK_SECONDS):
             assert await work is None
--- a/tests/platform/test_stage_room.py
+++ b/tests/platform/test_stage_room.py
@@ -63,7 +63,7 @@
         response = await running.call("/staged/x", headers=PIECES)
         await response.read()
         assert encode.reports == 1
-        queue = running.nodes[0].stage_owner.queue(encode.worker_id)
+        queue = running.nodes[0].stage_owner.get_queue(encode.worker_id)
         assert queue is not None
         assert queue.counters.no_room == 0
 
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -192,16 +192,16 @@
         def __init__(self, codec: object, client: object, statements: object) -> None:
             pass
 
-        async def ask(
+        async def run_call(
             self, worker: WorkerRecord, call: StageCall, known: dict[str, None]
         ) -> list[PieceResult] | None:
             return await simulation.workers[worker.worker_id].send_call(call)
 
-        async def free(self, worker: WorkerRecord, handles: list[str]) -> None:
+        async def free_results(self, worker: WorkerRecord, handles: list[str]) -> None:
             await asyncio.sleep(HOP_SECONDS)
             simulation.workers[worker.worker_id].free_results(handles)
 
-        async def report(self, worker: WorkerRecord) -> StageWorkerReport:
+        async def fetch_report(self, worker: WorkerRecord) -> StageWorkerReport:
             await asyncio.sleep(2 * HOP_SECONDS)
             return StageWorkerReport(simulation.workers[worker.worker_id].free_bytes)
 
@@ -244,11 +244,11 @@
     decode = msgspec.msgpack.decode
     if path == PIECES_PATH:
         return msgspec.msgpack.encode(
-            await target.stage_owner.make(decode(message, type=StageWork))
+            await target.stage_owner.run_pieces(decode(message, type=StageWork))
         )
     if path == FREE_PATH:
         results = decode(message, type=FreeResults)
-        target.stage_owner.free(results.worker_id, results.handles)
+        target.stage_owner.free_results(results.worker_id, results.handles)
         return b""
     engines = target._peer_server._engine_owner
     if path == PREFILL_REQUEST_PATH:
