--- a/src/corkcrank/node/calls/attempts.py
+++ b/src/corkcrank/node/calls/attempts.py
@@ -14,19 +14,19 @@
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.workers.worker_client import SendFailure, SendTrouble
 
-AVOID_SECONDS = 1.0
+FAILED_AVOID_SECONDS = 1.0
 """Time for which a worker is avoided after a failed attempt, in seconds."""
 
 FULL_AVOID_SECONDS = 0.15
 """Time for which a worker is avoided that is full and did not run a call, in seconds."""
 
-INPUTS_GONE_STATUS = 409
+INPUTS_UNAVAILABLE_STATUS = 409
 """Status of an engine that could not fetch a stage result."""
 
-FIRST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 """Lowest status of a final answer; aiohttp returns a 101 (protocol switch) as an answer too."""
 
-LEAST_HEAD_SECONDS = 0.01
+MIN_HEAD_SECONDS = 0.01
 """Minimum wait for the head of an answer, even if the call has less time left, in seconds."""
 
 MISDIRECTED_STATUS = 421
@@ -51,7 +51,7 @@
     detail: str = ""
     response: aiohttp.ClientResponse | None = None
     head: AnswerHead | None = None
-    lost_inputs: bool = False
+    inputs_unavailable: bool = False
     silent: bool = False
 
     @property
@@ -102,17 +102,17 @@
         call.target,
         headers,
         call.body,
-        max(LEAST_HEAD_SECONDS, min(head_seconds, remaining)),
+        max(MIN_HEAD_SECONDS, min(head_seconds, remaining)),
         fresh=fresh,
     )
-    attempt = _judge(services, call, worker, response)
+    attempt = _classify_response(services, call, worker, response)
     if attempt.outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_RUN):
         call.may_have_run = begun_before
-    _note(services, call, attempt)
+    _record_attempt(services, call, attempt)
     return attempt
 
 
-def _judge(
+def _classify_response(
     services: CallServices,
     call: OpaqueCall,
     worker: WorkerRecord,
@@ -132,15 +132,15 @@
     if head.call_id:
         services.statements.record_response(worker, response.status, response.headers)
     if head.not_run or response.status == MISDIRECTED_STATUS:
-        _note_leaving(services, worker, response)
+        _record_leaving(services, worker, response)
         status = response.status
         response.close()
-        lost_inputs = status == INPUTS_GONE_STATUS
+        lost_inputs = status == INPUTS_UNAVAILABLE_STATUS
         return Attempt(worker, AttemptOutcome.NOT_RUN, f"status {status}", None, head, lost_inputs)
     if not head.sealed or head.call_id != call.call_id:
         response.close()
         return Attempt(worker, AttemptOutcome.LOST, "answer without signature or request id")
-    if response.status < FIRST_FINAL_STATUS:
+    if response.status < MIN_FINAL_STATUS:
         response.close()
         return Attempt(
             worker,
@@ -153,14 +153,14 @@
     return Attempt(worker, AttemptOutcome.ANSWERED, "", response, head)
 
 
-def _note_leaving(
+def _record_leaving(
     services: CallServices, worker: WorkerRecord, response: aiohttp.ClientResponse
 ) -> None:
     if response.status == MISDIRECTED_STATUS:
         services.worker_statistics.get_or_create(worker.worker_id).leaving = True
 
 
-def _note(services: CallServices, call: OpaqueCall, attempt: Attempt) -> None:
+def _record_attempt(services: CallServices, call: OpaqueCall, attempt: Attempt) -> None:
     services.metrics.attempts.labels(attempt.outcome.value).inc()
     if attempt.outcome is AttemptOutcome.ANSWERED:
         return
@@ -171,8 +171,8 @@
     else:
         statistics.failures.append(now)
         sent = attempt.outcome is AttemptOutcome.LOST
-        services.note_broken(call, attempt.worker, silent=attempt.silent, sent=sent)
-        statistics.avoid_until = max(statistics.avoid_until, now + AVOID_SECONDS)
+        services.record_connection_failure(call, attempt.worker, silent=attempt.silent, sent=sent)
+        statistics.avoid_until = max(statistics.avoid_until, now + FAILED_AVOID_SECONDS)
     services.log.write(
         LogEvent.CALL_ATTEMPT_FAILED,
         call=call.call_id,
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -12,7 +12,7 @@
 from corkcrank.node.callers.drain import stopped_answer
 from corkcrank.node.callers.refusals import Refusal
 from corkcrank.node.calls.attempts import Attempt, AttemptOutcome, attempt_call
-from corkcrank.node.calls.services import PLAIN_SECONDS, CallServices
+from corkcrank.node.calls.services import DEFAULT_PLAIN_SECONDS, CallServices
 from corkcrank.node.calls.worker_answers import read_whole_answer
 from corkcrank.node.workers.worker_health import MIN_FAULT_STATUS
 from corkcrank.scheduling.worker_choice import rank_workers
@@ -20,15 +20,15 @@
 SILENCE_FACTOR = 5.0
 """A repeatable call is sent to another worker after this multiple of the mean answer time."""
 
-LEAST_SILENCE_SECONDS = 0.15
+MIN_SILENCE_SECONDS = 0.15
 """Minimum wait before a repeatable call is sent to another worker, in seconds: a lag of the
 event loop must not count as silence of the worker."""
 
-LONGEST_TIME_FACTOR = 10.0
+UNREPEATABLE_TIME_FACTOR = 10.0
 """A draining gateway accepts an unrepeatable call if this multiple of the mean answer time is
 left, because a call that is cut off could not be sent again. A repeatable call needs the mean."""
 
-SHORT_RETRY_SECONDS = 0.2
+NO_WORKER_RETRY_SECONDS = 0.2
 """Retry delay sent to the caller when no worker could run the call, in seconds."""
 
 
@@ -67,36 +67,36 @@
             now = clock.now()
             if now >= call.end_at:
                 break
-            worker = await self._choose(now)
+            worker = await self._choose_worker(now)
             if worker is None or self._services.crash_watch.quarantine_seconds_left(call):
                 break
             if number == 0:
                 self._services.budget(service).record_first_attempt(now)
-            elif not self._services.may_repeat(service):
+            elif not self._services.try_spend_repeat(service):
                 break
-            answer = await self._try(worker)
+            answer = await self._try_worker(worker)
             if answer is not None:
                 return answer
             if call.may_have_run and call.route.kind is CallKind.UNREPEATABLE:
                 break
-        return self._give_up()
+        return self._final_refusal()
 
     def _ends_before_stop(self) -> bool:
         """Return whether the call would end before this gateway stops; true unless draining."""
         services, call = self._services, self._call
         if not services.drain.begun:
             return True
-        longest = services.plain_times.of(call.service, PLAIN_SECONDS)
+        needed_seconds = services.plain_times.mean_seconds(call.service, DEFAULT_PLAIN_SECONDS)
         if call.route.kind is CallKind.UNREPEATABLE:
-            longest = max(call.route.objective, LONGEST_TIME_FACTOR * longest)
-        return clock.now() + longest <= services.drain.answer_by
+            needed_seconds = max(call.route.objective, UNREPEATABLE_TIME_FACTOR * needed_seconds)
+        return clock.now() + needed_seconds <= services.drain.answer_by
 
-    async def _choose(self, now: float) -> WorkerRecord | None:
+    async def _choose_worker(self, now: float) -> WorkerRecord | None:
         """Return the worker to try next; a rate-limited one only if its owner grants the call."""
         self._limit_wait = None
         usable = self._services.mirror.workers.usable(self._call.service)
         limited = self._services.limits.limited(usable, now)
-        ranked = self._ranked(usable, limited, now)
+        ranked = self._rank(usable, limited, now)
         if not ranked or ranked[0] not in limited:
             return ranked[0] if ranked else None
         candidates = [worker for worker in ranked if worker in limited]
@@ -104,12 +104,12 @@
         if verdict.worker is not None:
             return verdict.worker
         self._limit_wait = verdict.wait
-        free = self._ranked([item for item in usable if item not in limited], (), clock.now())
+        free = self._rank([item for item in usable if item not in limited], (), clock.now())
         outcome = "elsewhere" if free else "refused"
         self._services.metrics.limit_held_back.labels(outcome).inc()
         return free[0] if free else None
 
-    def _ranked(
+    def _rank(
         self, workers: Sequence[WorkerRecord], limited: Sequence[WorkerRecord], now: float
     ) -> list[WorkerRecord]:
         """Return the workers that may be tried, the best first."""
@@ -124,57 +124,57 @@
             limited={worker.worker_id for worker in limited},
         )
 
-    async def _try(self, worker: WorkerRecord) -> web.Response | None:
+    async def _try_worker(self, worker: WorkerRecord) -> web.Response | None:
         statistics = self._services.worker_statistics.get_or_create(worker.worker_id)
         statistics.in_flight += 1
         try:
-            return await self._exchange(worker)
+            return await self._send_and_read(worker)
         finally:
             statistics.in_flight -= 1
 
-    async def _exchange(self, worker: WorkerRecord) -> web.Response | None:
+    async def _send_and_read(self, worker: WorkerRecord) -> web.Response | None:
         call = self._call
         started = clock.now()
         attempt = await attempt_call(
             self._services,
             call,
             worker,
-            self._patience(),
+            self._max_wait_seconds(),
             fresh=call.route.kind is CallKind.UNREPEATABLE,
         )
         if attempt.outcome is not AttemptOutcome.ANSWERED:
             return None
-        response = await self._read(attempt)
+        response = await self._read_answer(attempt)
         if response is None:
-            self._services.note_broken(call, worker)
+            self._services.record_connection_failure(call, worker)
             return None
         self._services.health.record_response(worker, attempt.status)
         self._services.crash_watch.record_completed(call)
         if attempt.status >= MIN_FAULT_STATUS:
             statistics = self._services.worker_statistics.get_or_create(worker.worker_id)
             statistics.failures.append(clock.now())
-            if self._repeatable_elsewhere():
+            if self._may_try_another():
                 self._last_answer = response
                 return None
-        self._services.plain_times.learn(call.service, clock.now() - started)
+        self._services.plain_times.observe_seconds(call.service, clock.now() - started)
         return response
 
-    async def _read(self, attempt: Attempt) -> web.Response | None:
+    async def _read_answer(self, attempt: Attempt) -> web.Response | None:
         left = self._call.end_at - clock.now()
-        silence = self._patience(under_way=0)
+        silence = self._max_wait_seconds(under_way=0)
         return await read_whole_answer(self._services, attempt, left, silence)
 
-    def _patience(self, under_way: int = 1) -> float:
+    def _max_wait_seconds(self, under_way: int = 1) -> float:
         """Return the wait for a head or a body; an unrepeatable call waits to its deadline."""
         left = self._call.end_at - clock.now()
-        if not self._repeatable_elsewhere(under_way):
+        if not self._may_try_another(under_way):
             return left
-        if not self._services.could_repeat(self._call.service):
+        if not self._services.can_spend_repeat(self._call.service):
             return left
-        usual = self._services.plain_times.of(self._call.service, PLAIN_SECONDS)
-        return min(left, max(LEAST_SILENCE_SECONDS, SILENCE_FACTOR * usual))
+        usual = self._services.plain_times.mean_seconds(self._call.service, DEFAULT_PLAIN_SECONDS)
+        return min(left, max(MIN_SILENCE_SECONDS, SILENCE_FACTOR * usual))
 
-    def _repeatable_elsewhere(self, under_way: int = 0) -> bool:
+    def _may_try_another(self, under_way: int = 0) -> bool:
         """Return whether another worker may be tried; ``under_way`` attempts are unrecorded."""
         call = self._call
         attempts = len(call.workers_tried) + under_way
@@ -184,7 +184,7 @@
             and len(self._services.mirror.workers.usable(call.service)) > attempts
         )
 
-    def _give_up(self) -> web.StreamResponse | Refusal:
+    def _final_refusal(self) -> web.StreamResponse | Refusal:
         if self._last_answer is not None:
             return self._last_answer
         call = self._call
@@ -197,4 +197,4 @@
         if self._limit_wait is not None:
             return Refusal(ResultCode.WORKERS_LIMITED, retry_after=self._limit_wait)
         code = ResultCode.WORKERS_FULL if call.workers_tried else ResultCode.NO_BACKEND
-        return Refusal(code, retry_after=SHORT_RETRY_SECONDS)
+        return Refusal(code, retry_after=NO_WORKER_RETRY_SECONDS)
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -37,10 +37,10 @@
 TIME_WEIGHT = 0.15
 """Weight of the newest measurement in an exponentially weighted mean time."""
 
-FIRST_EVENT_SECONDS = 0.25
+DEFAULT_FIRST_EVENT_SECONDS = 0.25
 """Time to a first event assumed before the first measurement, in seconds."""
 
-PLAIN_SECONDS = 0.1
+DEFAULT_PLAIN_SECONDS = 0.1
 """Time of a plain answer assumed before the first measurement, in seconds."""
 
 
@@ -51,7 +51,7 @@
     _means: dict[str, float] = field(default_factory=dict)
     _variances: dict[str, float] = field(default_factory=dict)
 
-    def learn(self, service: str, seconds: float) -> None:
+    def observe_seconds(self, service: str, seconds: float) -> None:
         """Update the mean and the variance of a service with a measured time."""
         known = self._means.get(service, seconds)
         off = seconds - known
@@ -59,11 +59,11 @@
         variance = self._variances.get(service, 0.0)
         self._variances[service] = (1.0 - TIME_WEIGHT) * (variance + TIME_WEIGHT * off * off)
 
-    def of(self, service: str, default: float) -> float:
+    def mean_seconds(self, service: str, default: float) -> float:
         """Return the mean, or the default before the first measurement."""
         return self._means.get(service, default)
 
-    def spread_of(self, service: str) -> float:
+    def spread_seconds(self, service: str) -> float:
         """Return the standard deviation, 0 before the first measurement."""
         return math.sqrt(self._variances.get(service, 0.0))
 
@@ -96,8 +96,8 @@
     zone: str
     bounds: NodeBoundSettings
     drain: DrainSchedule = field(default_factory=DrainSchedule)
-    cutting: bool = False
-    note_silence: SilenceListener = ignore_silence
+    closing_connections: bool = False
+    record_silence: SilenceListener = ignore_silence
     first_event_times: MeanTimes = field(default_factory=MeanTimes)
     stream_times: StreamTimes = field(default_factory=StreamTimes)
     plain_times: MeanTimes = field(default_factory=MeanTimes)
@@ -123,7 +123,7 @@
             self._budgets[service] = budget
         return budget
 
-    def take_bounds(self, bounds: NodeBoundSettings) -> None:
+    def apply_bounds(self, bounds: NodeBoundSettings) -> None:
         """Apply changed bounds; repeats that were already spent stay counted."""
         self.bounds = bounds
         for budget in self._budgets.values():
@@ -139,7 +139,7 @@
             for service, budget in self._budgets.items()
         }
 
-    def note_broken(
+    def record_connection_failure(
         self,
         call: OpaqueCall,
         worker: WorkerRecord,
@@ -158,11 +158,11 @@
         if sent and not silent:
             self.crash_watch.record_connection_failure(call, worker, progressed=progressed)
 
-    def could_repeat(self, service: str) -> bool:
+    def can_spend_repeat(self, service: str) -> bool:
         """Return whether this gateway's share allows a repeat now, without spending it."""
         now = clock.now()
         return self.budget(service).remaining(now, self.fleet.share_member_count()) >= 1.0
 
-    def may_repeat(self, service: str) -> bool:
+    def try_spend_repeat(self, service: str) -> bool:
         """Spend one repeat of the fleet's budget, if this gateway's share allows it."""
         return self.budget(service).try_spend(clock.now(), self.fleet.share_member_count())
--- a/src/corkcrank/node/ingress/call_handler.py
+++ b/src/corkcrank/node/ingress/call_handler.py
@@ -25,7 +25,7 @@
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.streams.stream_run import StreamRun
 
-UNKNOWN_RETRY_SECONDS = 0.3
+NO_CONFIGURATION_RETRY_SECONDS = 0.3
 """Retry delay sent by a gateway that has no configuration yet, in seconds."""
 
 DEFAULT_BUDGET_SECONDS = 30.0
@@ -35,7 +35,7 @@
 FIELD_FRAMING_BYTES = 4
 """Bytes of a header field besides its name and value: colon, space and line end."""
 
-LOGGED_PATH_LENGTH = 120
+MAX_LOGGED_PATH_LENGTH = 120
 """Maximum logged length of a refused request's path, in characters."""
 
 LEFT_OUTCOME = "left"
@@ -71,12 +71,12 @@
         except Exception as error:
             self._services.log.write(LogEvent.INTERNAL_FAULT, error=repr(error), path=request.path)
             outcome = Refusal(ResultCode.INTERNAL_ERROR, type(error).__name__, close=True)
-        response = self._answer(outcome) if isinstance(outcome, Refusal) else outcome
+        response = self._count_refusal(outcome) if isinstance(outcome, Refusal) else outcome
         if self._services.drain.begun and not response.prepared:
             response.force_close()
         return response
 
-    def _answer(self, refusal: Refusal) -> web.Response:
+    def _count_refusal(self, refusal: Refusal) -> web.Response:
         self._services.metrics.refusals.labels(refusal.code.name).inc()
         return refusal.response()
 
@@ -86,9 +86,11 @@
         configuration = self._services.mirror.configuration
         if configuration is None:
             return Refusal(
-                ResultCode.CONFIGURATION_UNKNOWN, retry_after=UNKNOWN_RETRY_SECONDS, close=True
+                ResultCode.CONFIGURATION_UNKNOWN,
+                retry_after=NO_CONFIGURATION_RETRY_SECONDS,
+                close=True,
             )
-        problem = _head_problem(request, configuration.limits)
+        problem = _check_head(request, configuration.limits)
         if problem is not None:
             return problem
         body = await self.open_calls.serve(_BodyRead(request, configuration.limits))
@@ -98,7 +100,7 @@
         if isinstance(call, Refusal):
             self._log_refusal(request, call)
             return call
-        self._note_reserved_headers(call)
+        self._record_reserved_headers(call)
         call.end_at = min(call.end_at, self._services.drain.stop_at)
         return await self._run(call, request)
 
@@ -110,7 +112,7 @@
         try:
             if closed_by_peer(request.transport):
                 raise CallerLeftError
-            answer = await self.open_calls.serve(self._run_of(call, request))
+            answer = await self.open_calls.serve(self._create_run(call, request))
             if isinstance(answer, Refusal):
                 outcome, detail = answer.code.name, answer.detail
                 retry_after = answer.retry_after
@@ -126,27 +128,27 @@
             outcome, detail = ResultCode.INTERNAL_ERROR.name, type(error).__name__
             raise
         finally:
-            outcome = outcome or self._unanswered()
+            outcome = outcome or self._unanswered_outcome()
             if outcome == LEFT_OUTCOME:
-                self._note_left(call, request)
-            self._note_end(call, outcome, detail, retry_after)
+                self._record_caller_left(call, request)
+            self._record_end(call, outcome, detail, retry_after)
 
-    def _run_of(self, call: OpaqueCall, request: web.BaseRequest) -> CallRun[CallAnswer]:
+    def _create_run(self, call: OpaqueCall, request: web.BaseRequest) -> CallRun[CallAnswer]:
         if call.route.kind is CallKind.STREAM:
             return StreamRun(call, self._services, request)
         return PlainRun(call, self._services)
 
-    def _unanswered(self) -> str:
+    def _unanswered_outcome(self) -> str:
         """Return the outcome of an unanswered call: cut by this gateway, or the caller left."""
-        return CUT_OUTCOME if self._services.cutting else LEFT_OUTCOME
+        return CUT_OUTCOME if self._services.closing_connections else LEFT_OUTCOME
 
-    def _note_left(self, call: OpaqueCall, request: web.BaseRequest) -> None:
+    def _record_caller_left(self, call: OpaqueCall, request: web.BaseRequest) -> None:
         """Record how long work continued after a caller left; the owner records that of stages."""
         if call.step is not CallStep.STAGES:
             seconds = seconds_since_close(request)
             self._services.metrics.released(call.step.value, seconds)
 
-    def _note_end(
+    def _record_end(
         self, call: OpaqueCall, outcome: str, detail: str, retry_after: float | None
     ) -> None:
         """Count and log the outcome of a call.
@@ -202,12 +204,12 @@
         route = configuration.route_for(request.headers.get("Host", ""), path)
         if route is None:
             return Refusal(ResultCode.UNKNOWN_ROUTE, f"version {configuration.version}")
-        tenant = _tenant(configuration, route, envelope)
+        tenant = _find_tenant(configuration, route, envelope)
         if isinstance(tenant, Refusal):
             return tenant
-        return _make_call(request, body, arrived_at, configuration, envelope, route, tenant)
+        return _build_call(request, body, arrived_at, configuration, envelope, route, tenant)
 
-    def _note_reserved_headers(self, call: OpaqueCall) -> None:
+    def _record_reserved_headers(self, call: OpaqueCall) -> None:
         reserved = call.envelope.reserved_headers
         if not reserved:
             return
@@ -220,14 +222,14 @@
     def _log_refusal(self, request: web.BaseRequest, refusal: Refusal) -> None:
         self._services.log.write(
             LogEvent.CALL_REFUSED,
-            path=request.path[:LOGGED_PATH_LENGTH],
+            path=request.path[:MAX_LOGGED_PATH_LENGTH],
             code=refusal.code.name,
             detail=refusal.detail,
             version=self._services.mirror.version,
         )
 
 
-def _make_call(
+def _build_call(
     request: web.BaseRequest,
     body: bytes,
     arrived_at: float,
@@ -246,7 +248,9 @@
         rank=(tenant.rank if tenant is not None else 0, route.rank),
         method=request.method,
         target=request.raw_path,
-        headers=[(_text(name), _text(value)) for name, value in request.raw_headers],
+        headers=[
+            (_decode_header(name), _decode_header(value)) for name, value in request.raw_headers
+        ],
         body=body,
         arrived_at=arrived_at,
         end_at=arrived_at + min(caller_seconds, route.timeout),
@@ -255,7 +259,7 @@
     )
 
 
-def _tenant(
+def _find_tenant(
     configuration: OpaqueConfiguration, route: OpaqueRoute, envelope: CallEnvelope
 ) -> KeyedTenant | Refusal | None:
     if not configuration.has_tenants:
@@ -266,7 +270,7 @@
     return tenant
 
 
-def _head_problem(request: web.BaseRequest, limits: RequestLimits) -> Refusal | None:
+def _check_head(request: web.BaseRequest, limits: RequestLimits) -> Refusal | None:
     size = sum(len(name) + len(value) + FIELD_FRAMING_BYTES for name, value in request.raw_headers)
     if size + len(request.raw_path) > limits.header_bytes:
         return Refusal(ResultCode.HEADERS_TOO_LARGE, close=True)
@@ -333,5 +337,5 @@
         return Refusal(ResultCode.MALFORMED_REQUEST, str(error), close=True)
 
 
-def _text(raw: bytes) -> str:
+def _decode_header(raw: bytes) -> str:
     return raw.decode("utf-8", "surrogateescape")
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -136,7 +136,7 @@
             random=random_source,
             zone=process.zone,
             bounds=settings.bounds,
-            note_silence=silence.note,
+            record_silence=silence.note,
         )
         self.stage_owner.room.on_unreadable = unreadable.note
         self.stage_owner.on_release = self.services.metrics.released
@@ -203,7 +203,7 @@
         """Apply the bounds and limits of a changed settings file."""
         self._settings = settings
         self._election.shortest_bound = settings.bounds.shortest
-        self.services.take_bounds(settings.bounds)
+        self.services.apply_bounds(settings.bounds)
         self.listener_state.connection_limit = connection_limit(settings.limits)
 
     def dump(self) -> NodeDump:
@@ -245,7 +245,7 @@
         """
         now = clock.now()
         await self._drain(now if signalled_at is None else signalled_at)
-        self.services.cutting = True
+        self.services.closing_connections = True
         await asyncio.gather(self.callers.stop(), self._peer_server.stop())
         await self._send_pending_releases()
         await self.stage_owner.close()
--- a/src/corkcrank/node/streams/engine_assignment.py
+++ b/src/corkcrank/node/streams/engine_assignment.py
@@ -25,7 +25,7 @@
         statistics.reading += self._unread
         self._statistics = statistics
 
-    def has_read(self) -> None:
+    def record_prompt_read(self) -> None:
         """Remove the prompt from the unread tokens; called at the first event."""
         if self._statistics is not None:
             self._statistics.reading -= self._unread
@@ -34,6 +34,6 @@
     def clear(self) -> None:
         """Remove the call from the load of its engine."""
         if self._statistics is not None:
-            self.has_read()
+            self.record_prompt_read()
             self._statistics.in_flight -= 1
             self._statistics = None
--- a/src/corkcrank/node/streams/engine_exchange.py
+++ b/src/corkcrank/node/streams/engine_exchange.py
@@ -17,12 +17,12 @@
 from corkcrank.node.streams.stream_admission import StreamAdmission
 from corkcrank.node.streams.stream_answer import StreamAnswer
 from corkcrank.node.streams.stream_part import StreamPart
-from corkcrank.node.streams.stream_relay import LEAST_SILENCE_SECONDS, RelayEnd, StreamRelay
+from corkcrank.node.streams.stream_relay import MIN_SILENCE_SECONDS, RelayEnd, StreamRelay
 from corkcrank.node.workers.worker_health import MIN_FAULT_STATUS
 from corkcrank.scheduling.stage_plan import StagePlan
 from corkcrank.scheduling.worker_outcomes import CallOutcome
 
-LEAST_FIRST_EVENT_SECONDS = 1.2
+MIN_FIRST_EVENT_SECONDS = 1.2
 """Minimum wait for a first event before a resumable stream is moved, in seconds."""
 
 FIRST_EVENT_FACTOR = 4.0
@@ -61,7 +61,7 @@
         return self._relay.resume_after
 
     @property
-    def may_follow(self) -> bool:
+    def may_try_another(self) -> bool:
         """Return whether the call may be sent to another engine that could succeed."""
         call = self._call
         if call.may_have_run and not call.route.idempotent:
@@ -69,31 +69,31 @@
         if self.failure is not None and self.failure.status < MIN_FAULT_STATUS:
             return False
         attempts_left = len(call.workers_tried) < call.route.maximum_attempts
-        return attempts_left and self._services.could_repeat(call.service)
+        return attempts_left and self._services.can_spend_repeat(call.service)
 
     async def send(self, engine: WorkerRecord, inputs: tuple[str, ...]) -> RelayEnd:
         """Send the call to an engine and relay its answer."""
         self._call.step = CallStep.ENGINE
         attempt = await self._attempt(engine, inputs)
         if attempt.outcome is AttemptOutcome.ANSWERED:
-            return await self._take_answer(attempt)
-        if attempt.lost_inputs:
+            return await self._relay_answer(attempt)
+        if attempt.inputs_unavailable:
             self._services.fetch_delay(self._call.service).record_miss()
             self._plan.reset_results()
         return RelayEnd.BROKEN
 
-    async def _take_answer(self, attempt: Attempt) -> RelayEnd:
+    async def _relay_answer(self, attempt: Attempt) -> RelayEnd:
         upstream = attempt.response
         assert upstream is not None
-        part = self._relay.part_of(upstream)
+        part = self._relay.start_part(upstream)
         if part.succeeded:
-            end = await self._relay.relay(attempt, part, self._first_event_patience())
+            end = await self._relay.relay(attempt, part, self._max_first_event_seconds())
         else:
-            end = await self._take_failure(attempt)
+            end = await self._read_failure(attempt)
         self._log_end(attempt.worker, part, end)
         return end
 
-    async def _take_failure(self, attempt: Attempt) -> RelayEnd:
+    async def _read_failure(self, attempt: Attempt) -> RelayEnd:
         """Read an engine's failure and store it as the answer if no engine succeeds.
 
         It is never relayed into a stream that another engine began: the end of its body must
@@ -103,32 +103,32 @@
             statistics = self._services.worker_statistics.get_or_create(attempt.worker.worker_id)
             statistics.failures.append(clock.now())
         self._services.health.record_response(attempt.worker, attempt.status)
-        failure = await read_whole_answer(self._services, attempt, self._failure_patience())
+        failure = await read_whole_answer(self._services, attempt, self._failure_read_seconds())
         if failure is not None:
             self._services.crash_watch.record_completed(self._call)
             self.failure = failure
         return RelayEnd.FAILED
 
-    def _failure_patience(self) -> float:
+    def _failure_read_seconds(self) -> float:
         """Return the maximum time to read the body of a failure, in seconds.
 
         A body that never ends would otherwise delay a stream that another engine could resume
         until the caller's deadline. A stream that has begun does not need this body.
         """
         if not self._answer.prepared:
-            return self._first_event_patience()
-        return min(self._call.end_at - clock.now(), LEAST_SILENCE_SECONDS)
+            return self._max_first_event_seconds()
+        return min(self._call.end_at - clock.now(), MIN_SILENCE_SECONDS)
 
     async def _attempt(self, engine: WorkerRecord, inputs: tuple[str, ...]) -> Attempt:
-        self._note_prefix(engine)
-        self._relay.on_first_event = self._first_event(engine, clock.now())
-        timer = self._free_after_fetch(engine)
+        self._record_prefix(engine)
+        self._relay.on_first_event = self._first_event_recorder(engine, clock.now())
+        timer = self._schedule_free(engine)
         try:
             return await attempt_call(
                 self._services,
                 self._call,
                 engine,
-                self._first_event_patience(under_way=1),
+                self._max_first_event_seconds(under_way=1),
                 fresh=False,
                 inputs=inputs,
                 resume_after=self._relay.resume_after,
@@ -137,7 +137,7 @@
             if timer is not None:
                 timer.cancel()
 
-    def _note_prefix(self, engine: WorkerRecord) -> None:
+    def _record_prefix(self, engine: WorkerRecord) -> None:
         now = clock.now()
         prompt = self._call.envelope.prompt
         profile = self._services.mirror.profile(self._call.service)
@@ -145,7 +145,7 @@
         self._services.engines.record_sent(engine.worker_id, capacity, prompt.shared_parts, now)
         self._services.recent_prefixes.record_prefix(engine.worker_id, prompt, now)
 
-    def _free_after_fetch(self, engine: WorkerRecord) -> asyncio.TimerHandle | None:
+    def _schedule_free(self, engine: WorkerRecord) -> asyncio.TimerHandle | None:
         """Schedule the release of results after the usual fetch time, unless the engine queues."""
         statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         busy = statistics.in_flight + statistics.peers_in_flight
@@ -154,13 +154,13 @@
         delay = self._services.fetch_delay(self._call.service).seconds
         return asyncio.get_running_loop().call_later(delay, self.stages.close)
 
-    def _first_event(self, engine: WorkerRecord, sent_at: float) -> Callable[[], None]:
-        def note() -> None:
+    def _first_event_recorder(self, engine: WorkerRecord, sent_at: float) -> Callable[[], None]:
+        def record_first_event() -> None:
             now = clock.now()
-            self._assignment.has_read()
+            self._assignment.record_prompt_read()
             self._services.health.record_outcome(engine, CallOutcome.SERVED)
             self._services.prefill_grants.report_prefill_done(self._call, read=True)
-            self._services.first_event_times.learn(self._call.service, now - sent_at)
+            self._services.first_event_times.observe_seconds(self._call.service, now - sent_at)
             self._services.fetch_delay(self._call.service).record_hit()
             self._services.log.write(
                 LogEvent.FIRST_EVENT,
@@ -171,14 +171,14 @@
             if self.stages is not None:
                 self.stages.close()
 
-        return note
+        return record_first_event
 
-    def _first_event_patience(self, under_way: int = 0) -> float:
+    def _max_first_event_seconds(self, under_way: int = 0) -> float:
         left = self._call.end_at - clock.now()
         if not self._may_move(under_way):
             return left
-        usual = FIRST_EVENT_FACTOR * self._admission.engine_seconds()
-        return min(left, max(LEAST_FIRST_EVENT_SECONDS, usual))
+        usual = FIRST_EVENT_FACTOR * self._admission.first_event_seconds()
+        return min(left, max(MIN_FIRST_EVENT_SECONDS, usual))
 
     def _may_move(self, under_way: int = 0) -> bool:
         """Return whether a stream that fell silent could be resumed at another engine."""
@@ -187,7 +187,7 @@
         return (
             call.route.idempotent
             and attempts < call.route.maximum_attempts
-            and self._services.could_repeat(call.service)
+            and self._services.can_spend_repeat(call.service)
         )
 
     def _log_end(self, engine: WorkerRecord, part: StreamPart, end: RelayEnd) -> None:
--- a/src/corkcrank/node/streams/events.py
+++ b/src/corkcrank/node/streams/events.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 _END = re.compile(rb"\n\n|\r\n\r\n|\r\r")
-_LONGEST_END = 4
+_MAX_END_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
         self._buffer = bytearray()
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last complete event."""
         return bytes(self._buffer)
 
@@ -47,18 +47,18 @@
         >>> reader.feed(b": still here\n\n")[0].dispatched
         False
         """
-        unsearched = max(0, len(self._buffer) - _LONGEST_END + 1)
+        unsearched = max(0, len(self._buffer) - _MAX_END_BYTES + 1)
         self._buffer += data
         events: list[StreamEvent] = []
         begin = 0
         for end in _END.finditer(self._buffer, unsearched):
-            events.append(_event(bytes(self._buffer[begin : end.end()])))
+            events.append(_parse_event(bytes(self._buffer[begin : end.end()])))
             begin = end.end()
         del self._buffer[:begin]
         return events
 
 
-def _event(raw: bytes) -> StreamEvent:
+def _parse_event(raw: bytes) -> StreamEvent:
     event_id: int | None = None
     dispatched = False
     for line in raw.splitlines():
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -8,7 +8,7 @@
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.links.decision_log import LogEvent
 from corkcrank.node.callers.refusals import Refusal
-from corkcrank.node.calls.services import FIRST_EVENT_SECONDS, CallServices
+from corkcrank.node.calls.services import DEFAULT_FIRST_EVENT_SECONDS, CallServices
 from corkcrank.node.stages.stage_placing import stage_placing
 from corkcrank.scheduling.call_admission import (
     AdmissionVerdict,
@@ -22,7 +22,7 @@
 from corkcrank.scheduling.stage_plan import StagePlan
 from corkcrank.scheduling.zone_weights import engine_weights
 
-LIMITED_TOKENS = 6_000.0
+LIMITED_PENALTY_TOKENS = 6_000.0
 """Penalty of a rate-limited engine, in prompt tokens, when a call's zone is chosen."""
 
 
@@ -38,14 +38,16 @@
         self.spread_seconds = 0.0
         self._forecasts: dict[tuple[int, str], StageForecast | None] = {}
 
-    def engine_seconds(self) -> float:
+    def first_event_seconds(self) -> float:
         """Return the mean time of the service's engines to a first event, in seconds."""
-        return self._services.first_event_times.of(self._call.service, FIRST_EVENT_SECONDS)
+        return self._services.first_event_times.mean_seconds(
+            self._call.service, DEFAULT_FIRST_EVENT_SECONDS
+        )
 
     def _engine_forecast(self) -> EngineForecast:
         """Return the mean time to a first event with its standard deviation."""
-        spread = self._services.first_event_times.spread_of(self._call.service)
-        return EngineForecast(self.engine_seconds(), spread)
+        spread = self._services.first_event_times.spread_seconds(self._call.service)
+        return EngineForecast(self.first_event_seconds(), spread)
 
     def ends_before_stop(self, stages_seconds: float = 0.0) -> bool:
         """Return whether the stream would end before this gateway stops; true unless draining.
@@ -55,7 +57,7 @@
         drain = self._services.drain
         if not drain.begun:
             return True
-        needed = stages_seconds + self.engine_seconds() + self._stream_seconds()
+        needed = stages_seconds + self.first_event_seconds() + self._stream_seconds()
         return clock.now() + needed <= drain.stop_at
 
     def _stream_seconds(self) -> float:
@@ -74,7 +76,7 @@
             call=self._call.call_id,
             route=self._call.route.name,
             stages=round(stages_seconds, 3),
-            engine=round(self.engine_seconds(), 3),
+            engine=round(self.first_event_seconds(), 3),
             stream=round(self._stream_seconds(), 3),
             tokens=self._call.envelope.prompt.tokens_out,
             left=round(drain.stop_at - clock.now(), 3),
@@ -95,7 +97,7 @@
             penalties = dict(penalties)
             for engine in limited:
                 known = penalties.get(engine.worker_id, 0.0)
-                penalties[engine.worker_id] = known + LIMITED_TOKENS
+                penalties[engine.worker_id] = known + LIMITED_PENALTY_TOKENS
         pace, configuration = services.prefill_pace, services.mirror.configuration
         question = EngineQuestion(
             prompt=call.envelope.prompt,
@@ -117,7 +119,7 @@
         """
         if not self._plan.has_pieces:
             if not self.ends_before_stop():
-                return _outlasts_drain()
+                return _drain_refusal()
             self.log_time_left()
             return engines[0]
         correction = self._services.forecast_bias.for_route(self._call.route.name, clock.now())
@@ -126,13 +128,13 @@
         self._forecasts.clear()
         for engine in engines:
             if engine.zone not in verdicts:
-                verdicts[engine.zone] = self._judge_zone(engine.zone, correction)
+                verdicts[engine.zone] = self._evaluate_zone(engine.zone, correction)
             verdict = verdicts[engine.zone]
             if verdict.admitted:
                 self.stages_forecast = verdict.stages_seconds
                 self.spread_seconds = verdict.spread_seconds
                 if not self.ends_before_stop(verdict.stages_seconds * correction.factor):
-                    return _outlasts_drain()
+                    return _drain_refusal()
                 self.log_time_left(verdict.stages_seconds * correction.factor)
                 return engine
         verdict = min(verdicts.values(), key=lambda item: item.forecast_seconds)
@@ -143,11 +145,11 @@
             retry_after=verdict.retry_after,
         )
 
-    def _judge_zone(self, zone: str, correction: ForecastCorrection) -> AdmissionVerdict:
+    def _evaluate_zone(self, zone: str, correction: ForecastCorrection) -> AdmissionVerdict:
         call = self._call
         now = clock.now()
         chain = forecast_chain(
-            call.route.stages, self._plan.counts, lambda stage: self._forecast(stage, zone)
+            call.route.stages, self._plan.counts, lambda stage: self._cached_forecast(stage, zone)
         )
         return decide_admission(
             chain,
@@ -158,14 +160,14 @@
             returning=self._call.returning,
         )
 
-    def _forecast(self, stage: int, zone: str) -> StageForecast | None:
+    def _cached_forecast(self, stage: int, zone: str) -> StageForecast | None:
         """Return a stage's forecast; the zone matters only if the engine reads the results."""
         reader_zone = "" if self._plan.reader_stages(stage) else zone
         if (stage, reader_zone) not in self._forecasts:
-            self._forecasts[stage, reader_zone] = self._expected(stage, reader_zone)
+            self._forecasts[stage, reader_zone] = self._compute_forecast(stage, reader_zone)
         return self._forecasts[stage, reader_zone]
 
-    def _expected(self, stage: int, reader_zone: str) -> StageForecast | None:
+    def _compute_forecast(self, stage: int, reader_zone: str) -> StageForecast | None:
         dispatch = self._services.dispatch
         placing = stage_placing(self._plan, dispatch, self._call, stage, self._plan.counts[stage])
         return dispatch.forecast_future_pieces(
@@ -186,5 +188,5 @@
         )
 
 
-def _outlasts_drain() -> Refusal:
+def _drain_refusal() -> Refusal:
     return Refusal.draining("would outlast the drain")
--- a/src/corkcrank/node/streams/stream_answer.py
+++ b/src/corkcrank/node/streams/stream_answer.py
@@ -31,7 +31,7 @@
         return self._response is not None
 
     @property
-    def caller_gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
         """Return whether the caller's connection is closed or closing."""
         transport = self._request.transport
         return transport is None or transport.is_closing()
@@ -41,7 +41,7 @@
         assert self._response is not None
         return self._response
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the caller sees that the answer is incomplete."""
         transport = self._request.transport
         if transport is not None:
@@ -49,12 +49,12 @@
 
     async def write(self, upstream: aiohttp.ClientResponse, data: bytes) -> None:
         """Write bytes to the caller, after the head of ``upstream`` if they are the first."""
-        self._note_pause()
-        await self._within_call(self._write(upstream, data))
+        self._record_pause()
+        await self._write_before_deadline(self._write(upstream, data))
 
     async def end(self, upstream: aiohttp.ClientResponse, rest: bytes) -> None:
         """Write the last bytes and end the answer as complete."""
-        await self._within_call(self._write_end(upstream, rest))
+        await self._write_before_deadline(self._write_end(upstream, rest))
 
     async def _write(self, upstream: aiohttp.ClientResponse, data: bytes) -> None:
         response = await self._prepare(upstream)
@@ -65,9 +65,9 @@
         if rest:
             await response.write(rest)
         await response.write_eof()
-        self._end_by_reset(False)
+        self._set_close_by_reset(False)
 
-    async def _within_call(self, writing: Coroutine[None, None, None]) -> None:
+    async def _write_before_deadline(self, writing: Coroutine[None, None, None]) -> None:
         """Write until the call's deadline, then drop a caller that accepts no bytes."""
         started = clock.now()
         try:
@@ -75,10 +75,10 @@
                 await writing
         except TimeoutError:
             waited = clock.now() - started
-            self._services.note_silence(
+            self._services.record_silence(
                 SilentConnection(ConnectionKind.CALLER, self._request.remote or "", waited)
             )
-            self.break_off()
+            self.abort()
             raise ConnectionResetError("the caller accepted no bytes until the deadline") from None
 
     async def _prepare(self, upstream: aiohttp.ClientResponse) -> web.StreamResponse:
@@ -90,11 +90,11 @@
                 response.force_close()
             self._response = response
             self._call.answer_begun = True
-            self._end_by_reset(True)
+            self._set_close_by_reset(True)
             await response.prepare(self._request)
         return self._response
 
-    def _end_by_reset(self, reset: bool) -> None:
+    def _set_close_by_reset(self, reset: bool) -> None:
         """Set whether an HTTP/1.0 connection is closed by a reset.
 
         HTTP/1.0 has no chunked encoding, so a closed connection marks the end of an answer. With
@@ -103,7 +103,7 @@
         if self._request.version < HttpVersion11:
             close_by_reset(self._request.transport, reset)
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now = clock.now()
         if self._call.first_byte_at is None:
             self._call.first_byte_at = now
--- a/src/corkcrank/node/streams/stream_part.py
+++ b/src/corkcrank/node/streams/stream_part.py
@@ -17,7 +17,7 @@
 """Ids that the first event of a stream may have: 1 in all of 173 observed streams of five
 engines' models; 0 for an engine that counts from zero."""
 
-SUCCESS = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 """Status codes of an answer whose body is a stream."""
 
 
@@ -29,7 +29,7 @@
     CONNECTION = "connection"
 
 
-def framing_of(response: aiohttp.ClientResponse) -> Framing:
+def body_framing(response: aiohttp.ClientResponse) -> Framing:
     """Return what marks the end of a response body (RFC 9112, 6.3)."""
     if "Transfer-Encoding" in response.headers:
         return Framing.CHUNKS
@@ -51,21 +51,21 @@
     status: int
     framing: Framing
     resume_after: str = ""
-    more_begun: bool = False
+    next_event_begun: bool = False
     events: int = 0
     first_event: int | None = None
     last_event: int | None = None
     leftover: bytes = b""
     skipped: bool = False
     silent: bool = False
-    begun_at: float | None = None
+    first_event_at: float | None = None
 
     @property
     def succeeded(self) -> bool:
         """Return whether the status is a success, so that the body is a stream."""
-        return self.status in SUCCESS
+        return self.status in SUCCESS_STATUSES
 
-    def take(self, event: StreamEvent) -> bool:
+    def accept_event(self, event: StreamEvent) -> bool:
         """Return whether an event directly follows the last one; count it if it does."""
         if not event.dispatched:
             return True
@@ -78,16 +78,16 @@
         self.last_event = event.event_id
         return True
 
-    def note_event(self, now: float) -> None:
+    def record_first_event(self, now: float) -> None:
         """Record the time of the first event."""
-        if self.begun_at is None:
-            self.begun_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
 
     def progressed(self, now: float) -> bool:
         """Return whether the engine worked for longer than it takes a request to crash it."""
-        return self.begun_at is not None and now - self.begun_at > EARLY_RUN_SECONDS
+        return self.first_event_at is not None and now - self.first_event_at > EARLY_RUN_SECONDS
 
-    def whole_at_end(self) -> bool:
+    def is_stream_end(self) -> bool:
         r"""Return whether a properly terminated body was the end of the stream.
 
         Engines terminate the body of a failure as properly as a stream, and some stop in the
@@ -102,9 +102,9 @@
         """
         if not self.succeeded or self.leftover.strip():
             return False
-        return self.events > 0 or (bool(self.resume_after) and not self.more_begun)
+        return self.events > 0 or (bool(self.resume_after) and not self.next_event_begun)
 
-    def shows_more(self) -> bool:
+    def shows_next_event(self) -> bool:
         r"""Return whether an event is known to follow the last one that was relayed.
 
         Without this check, an engine that had no further event ended a stream as complete
@@ -120,7 +120,7 @@
         begun = self.leftover.strip()
         if begun and not begun.startswith(b":"):
             return True
-        return self.more_begun and self.events == 0
+        return self.next_event_begun and self.events == 0
 
     @property
     def _position(self) -> int | None:
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -12,13 +12,13 @@
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.streams.events import EventReader, StreamEvent
 from corkcrank.node.streams.stream_answer import StreamAnswer
-from corkcrank.node.streams.stream_part import StreamPart, framing_of
+from corkcrank.node.streams.stream_part import StreamPart, body_framing
 from corkcrank.node.workers.worker_client import address_of, unframed_body_end
 
-LEAST_SILENCE_SECONDS = 1.0
+MIN_SILENCE_SECONDS = 1.0
 """Minimum silence between events after which a stream is moved, in seconds."""
 
-SILENCE_PAUSES = 2.5
+SILENCE_FACTOR = 2.5
 """A resumable stream is moved after a silence of this multiple of its pause objective."""
 
 DEFAULT_PAUSE_SECONDS = 1.0
@@ -51,13 +51,13 @@
         self._answer = answer
         self.resume_after = call.envelope.resume_after
         """Id of the last event that the caller received, as it is sent to an engine."""
-        self._more_begun = False
+        self._next_event_begun = False
         self.on_first_event: Callable[[], None] = lambda: None
 
-    def part_of(self, upstream: aiohttp.ClientResponse) -> StreamPart:
+    def start_part(self, upstream: aiohttp.ClientResponse) -> StreamPart:
         """Return a new part for an engine's answer whose head has arrived."""
         return StreamPart(
-            upstream.status, framing_of(upstream), self.resume_after, self._more_begun
+            upstream.status, body_framing(upstream), self.resume_after, self._next_event_begun
         )
 
     async def relay(self, attempt: Attempt, part: StreamPart, first_seconds: float) -> RelayEnd:
@@ -67,13 +67,13 @@
         # Stays set if the call is cancelled, which is no failure of the engine.
         end = RelayEnd.CALLER_GONE
         try:
-            end = await self._relay(upstream, part, first_seconds)
+            end = await self._relay_body(upstream, part, first_seconds)
         finally:
-            self._more_begun = part.shows_more()
+            self._next_event_begun = part.shows_next_event()
             if end is not RelayEnd.COMPLETE:
                 attempt.close()
             if end is RelayEnd.BROKEN:
-                self._services.note_broken(
+                self._services.record_connection_failure(
                     self._call,
                     attempt.worker,
                     silent=part.silent,
@@ -84,42 +84,42 @@
                 ).failures.append(clock.now())
         return end
 
-    async def _relay(
+    async def _relay_body(
         self, upstream: aiohttp.ClientResponse, part: StreamPart, first_seconds: float
     ) -> RelayEnd:
         reader = EventReader()
         closed = unframed_body_end(upstream)
-        patience = first_seconds
+        max_wait = first_seconds
         try:
             while True:
-                chunk = await self._next_chunk(upstream, patience)
+                chunk = await self._next_chunk(upstream, max_wait)
                 if not chunk:
                     break
                 events = reader.feed(chunk)
                 if events and not await self._send_events(upstream, part, events):
                     return RelayEnd.BROKEN
                 if events:
-                    patience = self._silence_limit()
+                    max_wait = self._max_silence_seconds()
             if closed is not None:
                 await closed
         except TimeoutError:
             part.silent = True
-            return RelayEnd.CALLER_GONE if self._answer.caller_gone else RelayEnd.BROKEN
+            return RelayEnd.CALLER_GONE if self._answer.caller_disconnected else RelayEnd.BROKEN
         except (aiohttp.ClientError, ConnectionError, ValueError):
-            return RelayEnd.CALLER_GONE if self._answer.caller_gone else RelayEnd.BROKEN
+            return RelayEnd.CALLER_GONE if self._answer.caller_disconnected else RelayEnd.BROKEN
         finally:
-            part.leftover = reader.rest
-        return await self._end(upstream, part)
+            part.leftover = reader.remainder
+        return await self._end_answer(upstream, part)
 
-    async def _next_chunk(self, upstream: aiohttp.ClientResponse, patience: float) -> bytes:
+    async def _next_chunk(self, upstream: aiohttp.ClientResponse, max_wait: float) -> bytes:
         started = clock.now()
         left = self._call.end_at - started
         try:
-            async with asyncio.timeout(clock.at_least_a_moment(min(left, patience))):
+            async with asyncio.timeout(clock.at_least_a_moment(min(left, max_wait))):
                 return await upstream.content.readany()
         except TimeoutError:
             waited = clock.now() - started
-            if waited >= LEAST_SILENCE_SECONDS:
+            if waited >= MIN_SILENCE_SECONDS:
                 self._services.client.record_silence(address_of(upstream), waited)
             raise
 
@@ -130,37 +130,37 @@
         data = []
         whole = True
         for event in events:
-            if not part.take(event):
+            if not part.accept_event(event):
                 whole = False
                 break
             data.append(event.data)
         if part.last_event is not None:
             self.resume_after = str(part.last_event)
         if data:
-            part.note_event(clock.now())
+            part.record_first_event(clock.now())
             self._call.step = CallStep.RELAY
             self.on_first_event()
-            self.on_first_event = _nothing
+            self.on_first_event = _do_nothing
             await self._answer.write(upstream, b"".join(data))
         return whole
 
-    async def _end(self, upstream: aiohttp.ClientResponse, part: StreamPart) -> RelayEnd:
+    async def _end_answer(self, upstream: aiohttp.ClientResponse, part: StreamPart) -> RelayEnd:
         """End the answer as complete if the engine's part was the end of the stream.
 
         A properly terminated body proves nothing: without this check, the failure of a second
         engine or a partial event ended incomplete streams as complete (18 streams in 6
         simulations with failing engines and broken streams; none in the same 6 with the check).
         """
-        if not part.whole_at_end():
+        if not part.is_stream_end():
             return RelayEnd.BROKEN
         try:
             await self._answer.end(upstream, part.leftover)
         except ConnectionError:
             return RelayEnd.CALLER_GONE
-        self._learn_time()
+        self._observe_stream_time()
         return RelayEnd.COMPLETE
 
-    def _learn_time(self) -> None:
+    def _observe_stream_time(self) -> None:
         """Update the estimate of stream times, unless the caller resumed the stream."""
         call = self._call
         if call.first_byte_at is None or call.envelope.resume_after:
@@ -169,12 +169,12 @@
         tokens = call.envelope.prompt.tokens_out
         self._services.stream_times.observe_stream(call.route.name, tokens, seconds)
 
-    def _silence_limit(self) -> float:
+    def _max_silence_seconds(self) -> float:
         if not self._may_move():
             return float("inf")
         pause = self._call.route.pause_objective or DEFAULT_PAUSE_SECONDS
-        return max(LEAST_SILENCE_SECONDS, SILENCE_PAUSES * pause)
+        return max(MIN_SILENCE_SECONDS, SILENCE_FACTOR * pause)
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -23,13 +23,13 @@
 from corkcrank.scheduling.call_admission import MIN_RETRY_SECONDS
 from corkcrank.scheduling.stage_plan import StagePlan
 
-LEAST_WAIT_SECONDS = 0.02
+MIN_WAIT_SECONDS = 0.02
 """Minimum pause before owners are asked again for a turn, in seconds."""
 
-LONGEST_TURN_SECONDS = 1.0
+MAX_TURN_WAIT_SECONDS = 1.0
 """Maximum wait for a turn at a rate-limited engine after the stages, in seconds."""
 
-SHORT_RETRY_SECONDS = 3 * MIN_RETRY_SECONDS
+NO_ENGINE_RETRY_SECONDS = 3 * MIN_RETRY_SECONDS
 """Retry delay sent to the caller when no engine is available, in seconds."""
 
 
@@ -59,7 +59,7 @@
     def give_up(self) -> web.StreamResponse | Refusal:
         """Return the answer to send when the gateway stops; abort an answer that has begun."""
         if self._answer.prepared:
-            self._answer.break_off()
+            self._answer.abort()
             raise ConnectionResetError("the gateway stops before the stream is complete")
         return self._exchanges.failure or stopped_answer(self._call)
 
@@ -73,7 +73,7 @@
         self._services.prompt_sizes.observe_prompt_size(self._call.route.name, tokens)
         engines = self._admission.rank_engines()
         if not engines:
-            return Refusal(ResultCode.NO_BACKEND, retry_after=SHORT_RETRY_SECONDS)
+            return Refusal(ResultCode.NO_BACKEND, retry_after=NO_ENGINE_RETRY_SECONDS)
         engine = await self._admit(engines)
         if isinstance(engine, Refusal):
             return engine
@@ -111,7 +111,7 @@
         for number in range(self._call.route.maximum_attempts):
             assert engine is not None
             inputs = await self._run_stages(engine)
-            engine = await self._engine_to_send_to(engine, number)
+            engine = await self._confirm_engine(engine, number)
             if engine is None:
                 break
             end = await self._exchanges.send(engine, inputs)
@@ -120,18 +120,18 @@
                 return self._answer.finished()
             if end is RelayEnd.CALLER_GONE:
                 raise CallerLeftError
-            if not self._exchanges.may_follow:
+            if not self._exchanges.may_try_another:
                 break
             if clock.now() >= self._call.end_at:
                 break
             failed = engine
-            engine = self._still_usable(failed)
+            engine = self._usable_or_other(failed)
             if engine is None:
                 break
-            self._after_failure(failed)
-        return self._give_up()
+            self._prepare_next_engine(failed)
+        return self._final_refusal()
 
-    async def _engine_to_send_to(self, chosen: WorkerRecord, number: int) -> WorkerRecord | None:
+    async def _confirm_engine(self, chosen: WorkerRecord, number: int) -> WorkerRecord | None:
         """Return the engine to send the call to now, or ``None`` if it must not be sent."""
         crash_watch = self._services.crash_watch
         if await crash_watch.wait_for_verdict(self._call):
@@ -139,36 +139,36 @@
         if not self._answer.prepared and not self._admission.ends_before_stop():
             return None
         self._admission.log_time_left()
-        engine = self._still_usable(chosen)
-        if engine is None or not self._may_send(number):
+        engine = self._usable_or_other(chosen)
+        if engine is None or not self._try_start_attempt(number):
             return None
-        engine = await self._take_turn(engine)
+        engine = await self._wait_for_turn(engine)
         return None if crash_watch.quarantine_seconds_left(self._call) else engine
 
-    async def _take_turn(self, chosen: WorkerRecord) -> WorkerRecord | None:
+    async def _wait_for_turn(self, chosen: WorkerRecord) -> WorkerRecord | None:
         """Wait for a turn to read the prompt; return the engine that granted it.
 
         If every engine has reached its rate limit, waits a little for a turn, because the
         results of the call's stages would be wasted otherwise.
         """
         self._call.step = CallStep.ENGINE_GRANT
-        give_up_at = min(self._call.end_at, clock.now() + LONGEST_TURN_SECONDS)
-        turn = await self._ask_turn(chosen)
+        give_up_at = min(self._call.end_at, clock.now() + MAX_TURN_WAIT_SECONDS)
+        turn = await self._request_turn(chosen)
         while turn.engine is None and clock.now() + turn.wait < give_up_at:
-            await asyncio.sleep(max(LEAST_WAIT_SECONDS, turn.wait))
-            turn = await self._ask_turn(chosen)
+            await asyncio.sleep(max(MIN_WAIT_SECONDS, turn.wait))
+            turn = await self._request_turn(chosen)
         engine = turn.engine
         if engine is not None and engine.worker_id != chosen.worker_id:
             self._assignment.assign(engine)
         return engine
 
-    async def _ask_turn(self, chosen: WorkerRecord) -> PrefillVerdict:
+    async def _request_turn(self, chosen: WorkerRecord) -> PrefillVerdict:
         """Request a turn from the owner of the chosen engine's zone, then from other zones."""
         services = self._services
         long = services.prompt_sizes.has_long_prompts(self._call.route.name)
         turn = await services.prefill_grants.request_grant(self._call, chosen, long=long)
         if turn.engine is None:
-            return await self._elsewhere(chosen.zone, turn.wait, long=long)
+            return await self._request_turn_elsewhere(chosen.zone, turn.wait, long=long)
         if services.worker_statistics.get_or_create(turn.engine.worker_id).is_unavailable(
             clock.now()
         ):
@@ -176,7 +176,9 @@
             return PrefillVerdict(services.prefill_grants.use_without_grant(chosen), turn.wait)
         return turn
 
-    async def _elsewhere(self, zone: str, wait: float, *, long: bool) -> PrefillVerdict:
+    async def _request_turn_elsewhere(
+        self, zone: str, wait: float, *, long: bool
+    ) -> PrefillVerdict:
         """Request a turn from the owners of the other zones, the best zone first."""
         turn, asked = PrefillVerdict(None, wait), {zone}
         for candidate in self._admission.rank_engines():
@@ -197,7 +199,7 @@
         )
         return turn
 
-    def _may_send(self, number: int) -> bool:
+    def _try_start_attempt(self, number: int) -> bool:
         """Return whether there is time left; record a first attempt or spend a repeat."""
         now = clock.now()
         if now >= self._call.end_at:
@@ -205,9 +207,9 @@
         if number == 0:
             self._services.budget(self._call.service).record_first_attempt(now)
             return True
-        return self._services.may_repeat(self._call.service)
+        return self._services.try_spend_repeat(self._call.service)
 
-    def _still_usable(self, engine: WorkerRecord) -> WorkerRecord | None:
+    def _usable_or_other(self, engine: WorkerRecord) -> WorkerRecord | None:
         record = self._services.mirror.workers.get(engine.worker_id)
         statistics = self._services.worker_statistics.get_or_create(engine.worker_id)
         tried = engine.worker_id in self._call.workers_tried
@@ -231,7 +233,7 @@
                 self._services.crash_watch,
                 self._services.log,
                 engine.zone,
-                self._admission.engine_seconds(),
+                self._admission.first_event_seconds(),
                 self._admission.spread_seconds,
                 returning=self._call.returning,
             )
@@ -274,7 +276,7 @@
         tokens.labels("read").inc(unread)
         tokens.labels("kept").inc(max(0, prompt.tokens_in - unread))
 
-    def _after_failure(self, engine: WorkerRecord) -> None:
+    def _prepare_next_engine(self, engine: WorkerRecord) -> None:
         """Mark freed results to be produced again for the next engine, and log the move."""
         if self._exchanges.stages is not None and self._exchanges.stages.closed:
             self._plan.reset_results()
@@ -286,9 +288,9 @@
             last_event=self._exchanges.resume_after,
         )
 
-    def _give_up(self) -> web.StreamResponse | Refusal:
+    def _final_refusal(self) -> web.StreamResponse | Refusal:
         if self._answer.prepared:
-            self._answer.break_off()
+            self._answer.abort()
             raise ConnectionResetError("no engine is left to complete the stream")
         if self._exchanges.failure is not None:
             return self._exchanges.failure
@@ -302,13 +304,13 @@
             return Refusal.draining("its stream would outlast the drain")
         if self._exchanges.stages is not None and self._exchanges.stages.started:
             detail = "no engine after the stages"
-            return Refusal(ResultCode.STAGE_NOT_MADE, detail, retry_after=SHORT_RETRY_SECONDS)
+            return Refusal(ResultCode.STAGE_NOT_MADE, detail, retry_after=NO_ENGINE_RETRY_SECONDS)
         code = ResultCode.WORKERS_FULL if self._call.workers_tried else ResultCode.NO_BACKEND
-        return Refusal(code, retry_after=SHORT_RETRY_SECONDS)
+        return Refusal(code, retry_after=NO_ENGINE_RETRY_SECONDS)
 
     def _stage_refusal(self, error: StageFailedError) -> web.StreamResponse | Refusal:
         if self._answer.prepared:
-            self._answer.break_off()
+            self._answer.abort()
             raise ConnectionResetError("no engine is left to complete the stream") from error
         if self._exchanges.failure is not None:
             return self._exchanges.failure
--- a/tests/platform/test_event_reader.py
+++ b/tests/platform/test_event_reader.py
@@ -33,7 +33,7 @@
 def read(chunks: list[bytes]) -> tuple[list[StreamEvent], bytes]:
     reader = EventReader()
     found = [event for chunk in chunks for event in reader.feed(chunk)]
-    return found, reader.rest
+    return found, reader.remainder
 
 
 @given(streams(), st.lists(st.integers(0, 300), max_size=20))
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -86,7 +86,7 @@
     served = {"m": (StandinWorker(events=4, gap=0.3), "model")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
         open_calls = running.nodes[0].call_handler.open_calls
-        original = StreamAnswer._note_pause
+        original = StreamAnswer._record_pause
 
         def give_up_now(answer: StreamAnswer) -> None:
             if answer._call.first_byte_at is None:
