--- a/src/corkcrank/contracts/claims.py
+++ b/src/corkcrank/contracts/claims.py
@@ -1,12 +1,13 @@
-"""Claims: the decision core that makes an unrepeatable call run at most once.
+"""Claims: a state machine that makes an unrepeatable call run at most once.
 
-A claim is one row per tenant and idempotency key. It is inserted by compare-and-set with
-a unique attempt id before the first byte of the call goes out, and never taken over.
-Only the attempt that owns the row may send, and only it may write the outcome. A claim
-whose owner recorded that it never sent anything is *released* and may be claimed again.
+A claim is one table row per tenant and idempotency key. It is inserted by compare-and-set
+with a unique attempt id before the first byte of the call is sent, and no other attempt
+ever takes it over. Only the attempt that owns the row may send the call and write its
+outcome. If the owner recorded that it never sent anything, the claim is *released* and
+may be claimed again.
 
-The core does no I/O: :meth:`ClaimProcess.handle` takes an event and the time and returns
-instructions for the shell that carries them out.
+This module does no I/O: :meth:`ClaimProcess.handle` applies an event and returns
+instructions, which the caller carries out.
 """
 
 from dataclasses import dataclass
@@ -18,12 +19,12 @@
 from corkcrank.contracts.life_cycle import LifeCycle, Step
 from corkcrank.contracts.result_codes import Ran, ResultCode
 
-MAXIMUM_SENDS = 3
-"""Attempts to connect to a back end before an unsent call is given up."""
+MAX_SENDS = 3
+"""Attempts to connect to a back end before an unsent call is abandoned."""
 
 
 class ClaimRowState(StrEnum):
-    """What the table says of a claim."""
+    """State of a claim as stored in the table."""
 
     CLAIMED = "claimed"
     FINISHED = "finished"
@@ -32,7 +33,7 @@
 
 
 class ClaimRow(msgspec.Struct, frozen=True):
-    """The row kept in the table; ``answer`` is the first answer, given to every repeat."""
+    """A claim as stored in the table; ``answer`` is the first answer, returned to every repeat."""
 
     attempt: AttemptId
     body_digest: str
@@ -41,7 +42,7 @@
 
 
 class ClaimState(StrEnum):
-    """Where one request stands with its claim."""
+    """State of the claim of one request in its gateway."""
 
     NEW = "new"
     CLAIMING = "claiming"
@@ -52,7 +53,7 @@
 
 
 class ClaimTrigger(StrEnum):
-    """Steps of the claim life cycle."""
+    """Transitions of the claim life cycle."""
 
     BEGIN = "begin"
     WIN = "win"
@@ -62,7 +63,7 @@
     END = "end"
 
 
-_ALL_OPEN = (
+_OPEN_STATES = (
     ClaimState.CLAIMING,
     ClaimState.CLAIMED,
     ClaimState.SENT,
@@ -77,7 +78,7 @@
         Step(ClaimTrigger.SEND, (ClaimState.CLAIMED,), ClaimState.SENT),
         Step(ClaimTrigger.RETURN_UNSENT, (ClaimState.SENT,), ClaimState.CLAIMED),
         Step(ClaimTrigger.OUTLIVE_DEADLINE, (ClaimState.SENT,), ClaimState.OVERDUE),
-        Step(ClaimTrigger.END, _ALL_OPEN, ClaimState.DONE),
+        Step(ClaimTrigger.END, _OPEN_STATES, ClaimState.DONE),
     ),
 )
 
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowSeen:
-    """The row was read, or came back with a conflict; ``None`` when absent."""
+    """The row was read, or was returned with a conflict; ``row`` is ``None`` if it is absent."""
 
     row: ClaimRow | None
     revision: int
@@ -102,12 +103,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TableUnanswered:
-    """The table did not answer an insert or a read; an insert may have taken effect."""
+    """The table did not answer an insert or a read; the insert may have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswered:
-    """The back end answered whole."""
+    """The back end returned a complete answer."""
 
     answer: str
 
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallBroken:
-    """The call was cut after bytes may have left this process."""
+    """The call was interrupted after bytes may have left this process."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InsertClaim:
-    """Insert ``row`` if the table still holds ``expected_revision`` (zero: absent)."""
+    """Insert ``row`` if the stored row is still at ``expected_revision`` (zero: absent)."""
 
     row: ClaimRow
     expected_revision: int
@@ -149,22 +150,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadClaim:
-    """Read the row, after a pause when ``after_pause`` is set."""
+    """Read the row; ``after_pause`` asks for a pause before the read."""
 
     after_pause: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SendCall:
-    """Send the call to a back end; nothing may have been sent before."""
+    """Send the call to a back end. Valid only if no byte of it was sent before."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordRow:
-    """Write the row's last state in the background until the table takes it.
+    """Write the final state of the row, in the background, until the table commits it.
 
-    The write is conditional on the row still carrying this attempt, so a lost answer is
-    harmless: writing again gives the same row.
+    The write is conditional on the stored row having this attempt id. A lost answer of the
+    table is harmless, because another write gives the same row.
     """
 
     row: ClaimRow
@@ -172,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Give the caller its final answer."""
+    """Send the final answer to the caller."""
 
     code: ResultCode
     ran: Ran
@@ -183,7 +184,7 @@
 
 
 class ClaimProcess:
-    """The claim of one request, from arrival to recorded outcome."""
+    """State machine for the claim of one request, from arrival to the recorded outcome."""
 
     def __init__(self, attempt: AttemptId, body_digest: str, deadline: float) -> None:
         self.attempt = attempt
@@ -194,15 +195,15 @@
         self.sends = 0
 
     def handle(self, event: ClaimEvent, now: float) -> list[ClaimInstruction]:
-        """Take one event at time ``now`` (seconds of :mod:`clock`) and return what to do."""
+        """Apply one event at time ``now`` (seconds of :mod:`clock`) and return instructions."""
         match event:
             case ClaimStarted():
                 CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.BEGIN)
-                return [self._insert(expected_revision=0)]
+                return [self._insert_claim(expected_revision=0)]
             case InsertCommitted():
-                return self._on_won(now)
+                return self._on_claim_won(now)
             case RowSeen():
-                return self._on_row(event, now)
+                return self._on_row_seen(event, now)
             case TableUnanswered():
                 return self._on_table_unanswered(now)
             case CallAnswered():
@@ -215,81 +216,82 @@
                 return self._on_deadline()
 
     def validate(self) -> None:
-        """Check the invariants that hold between events."""
-        assert self.sends <= MAXIMUM_SENDS
+        """Assert the invariants that hold between events."""
+        assert self.sends <= MAX_SENDS
         assert self.state != ClaimState.DONE or self.replied
 
-    def _row(self, state: ClaimRowState, answer: str = "") -> ClaimRow:
+    def _claim_row(self, state: ClaimRowState, answer: str = "") -> ClaimRow:
         return ClaimRow(self.attempt, self.body_digest, state, answer)
 
-    def _insert(self, expected_revision: int) -> InsertClaim:
-        return InsertClaim(self._row(ClaimRowState.CLAIMED), expected_revision)
+    def _insert_claim(self, expected_revision: int) -> InsertClaim:
+        return InsertClaim(self._claim_row(ClaimRowState.CLAIMED), expected_revision)
 
-    def _reply(self, code: ResultCode, ran: Ran, answer: str = "") -> list[ClaimInstruction]:
+    def _reply_once(self, code: ResultCode, ran: Ran, answer: str = "") -> list[ClaimInstruction]:
         if self.replied:
             return []
         self.replied = True
         return [Reply(code, ran, answer)]
 
-    def _end(self) -> None:
+    def _end_claim(self) -> None:
         CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.END)
 
-    def _on_won(self, now: float) -> list[ClaimInstruction]:
+    def _on_claim_won(self, now: float) -> list[ClaimInstruction]:
         if self.state != ClaimState.CLAIMING:
             return []
         CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.WIN)
         return self._send_or_abandon(now)
 
     def _send_or_abandon(self, now: float) -> list[ClaimInstruction]:
-        # Safe after any pause: the row is ours and is never taken over, so the only
-        # question is whether anybody still waits for the answer.
-        if self.replied or now >= self.deadline or self.sends >= MAXIMUM_SENDS:
-            self._end()
-            release = RecordRow(self._row(ClaimRowState.RELEASED))
-            return [*self._reply(ResultCode.CLAIM_ABANDONED, Ran.NO), release]
+        # Sending is safe after any pause: this attempt owns the row and no other attempt
+        # takes it over. The call is pointless only if the caller no longer waits.
+        if self.replied or now >= self.deadline or self.sends >= MAX_SENDS:
+            self._end_claim()
+            release = RecordRow(self._claim_row(ClaimRowState.RELEASED))
+            return [*self._reply_once(ResultCode.CLAIM_ABANDONED, Ran.NO), release]
         CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.SEND)
         self.sends += 1
         return [SendCall()]
 
-    def _on_row(self, event: RowSeen, now: float) -> list[ClaimInstruction]:
+    def _on_row_seen(self, event: RowSeen, now: float) -> list[ClaimInstruction]:
         if self.state != ClaimState.CLAIMING:
             return []
         row = event.row
         if row is None:
-            return self._insert_again(0, now)
+            return self._insert_again_or_abandon(0, now)
         if row.attempt == self.attempt:
-            return self._on_won(now)
+            return self._on_claim_won(now)
         if row.body_digest != self.body_digest:
-            self._end()
-            return self._reply(ResultCode.IDEMPOTENCY_KEY_REUSED, Ran.NO)
+            self._end_claim()
+            return self._reply_once(ResultCode.IDEMPOTENCY_KEY_REUSED, Ran.NO)
         return self._on_other_attempt(row, event.revision, now)
 
-    def _insert_again(self, revision: int, now: float) -> list[ClaimInstruction]:
+    def _insert_again_or_abandon(self, revision: int, now: float) -> list[ClaimInstruction]:
         if self.replied or now >= self.deadline:
-            # An insert of ours may still be on its way, so the row must be closed. Another
-            # gateway may claim the key before this answer is read, so "no" is not said.
-            reply = self._reply(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
-            self._end()
-            return [*reply, RecordRow(self._row(ClaimRowState.RELEASED))]
-        return [self._insert(revision)]
+            # An insert of this attempt may still be in flight, so the row must be released.
+            # Another gateway may claim the key before the caller reads this answer, so the
+            # reply is "unknown", not "no".
+            reply = self._reply_once(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
+            self._end_claim()
+            return [*reply, RecordRow(self._claim_row(ClaimRowState.RELEASED))]
+        return [self._insert_claim(revision)]
 
     def _on_other_attempt(self, row: ClaimRow, revision: int, now: float) -> list[ClaimInstruction]:
         match row.state:
             case ClaimRowState.FINISHED:
-                self._end()
-                return self._reply(ResultCode.OK, Ran.YES, row.answer)
+                self._end_claim()
+                return self._reply_once(ResultCode.OK, Ran.YES, row.answer)
             case ClaimRowState.UNKNOWN:
-                self._end()
-                return self._reply(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+                self._end_claim()
+                return self._reply_once(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
             case ClaimRowState.RELEASED:
-                return self._insert_again(revision, now)
+                return self._insert_again_or_abandon(revision, now)
             case ClaimRowState.CLAIMED:
                 return self._wait_for_other(now)
 
     def _wait_for_other(self, now: float) -> list[ClaimInstruction]:
         if self.replied or now >= self.deadline:
-            self._end()
-            return self._reply(ResultCode.CLAIM_IN_PROGRESS, Ran.UNKNOWN)
+            self._end_claim()
+            return self._reply_once(ResultCode.CLAIM_IN_PROGRESS, Ran.UNKNOWN)
         return [ReadClaim(after_pause=True)]
 
     def _on_table_unanswered(self, now: float) -> list[ClaimInstruction]:
@@ -297,23 +299,23 @@
             return []
         if now < self.deadline:
             return [ReadClaim(after_pause=True)]
-        # Nothing was sent, but an earlier call with this key may have run.
-        reply = self._reply(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
-        self._end()
-        return [*reply, RecordRow(self._row(ClaimRowState.RELEASED))]
+        # This attempt sent nothing, but an earlier call with the same key may have run.
+        reply = self._reply_once(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
+        self._end_claim()
+        return [*reply, RecordRow(self._claim_row(ClaimRowState.RELEASED))]
 
     def _on_call_answered(self, event: CallAnswered) -> list[ClaimInstruction]:
         if self.state not in (ClaimState.SENT, ClaimState.OVERDUE):
             return []
-        self._end()
-        reply = self._reply(ResultCode.OK, Ran.YES, event.answer)
-        return [*reply, RecordRow(self._row(ClaimRowState.FINISHED, event.answer))]
+        self._end_claim()
+        reply = self._reply_once(ResultCode.OK, Ran.YES, event.answer)
+        return [*reply, RecordRow(self._claim_row(ClaimRowState.FINISHED, event.answer))]
 
     def _on_call_not_sent(self, now: float) -> list[ClaimInstruction]:
         if self.state == ClaimState.OVERDUE:
-            # The caller was already told that the outcome is unknown; now it is known.
-            self._end()
-            return [RecordRow(self._row(ClaimRowState.RELEASED))]
+            # The caller already got "outcome unknown"; now it is known that the call did not run.
+            self._end_claim()
+            return [RecordRow(self._claim_row(ClaimRowState.RELEASED))]
         if self.state != ClaimState.SENT:
             return []
         CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.RETURN_UNSENT)
@@ -322,16 +324,16 @@
     def _on_call_broken(self) -> list[ClaimInstruction]:
         if self.state not in (ClaimState.SENT, ClaimState.OVERDUE):
             return []
-        reply = self._reply(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
-        self._end()
-        return [*reply, RecordRow(self._row(ClaimRowState.UNKNOWN))]
+        reply = self._reply_once(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+        self._end_claim()
+        return [*reply, RecordRow(self._claim_row(ClaimRowState.UNKNOWN))]
 
     def _on_deadline(self) -> list[ClaimInstruction]:
         match self.state:
             case ClaimState.SENT:
                 CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.OUTLIVE_DEADLINE)
-                return self._reply(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+                return self._reply_once(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
             case ClaimState.CLAIMING:
-                return self._reply(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
+                return self._reply_once(ResultCode.CLAIM_STORE_UNAVAILABLE, Ran.UNKNOWN)
             case _:
                 return []
--- a/src/corkcrank/contracts/clock.py
+++ b/src/corkcrank/contracts/clock.py
@@ -1,54 +1,54 @@
-"""The clock of every age, deadline and lease.
+"""The monotonic clock for every age, deadline and lease.
 
-It never steps, and it counts the time for which the machine was suspended. The steady clock of the
-language leaves that out on Linux: after a suspension of ten seconds all that a process holds to be
-fresh would be ten seconds older than it knows. Timers of the event loop run on a clock of the loop
-that leaves it out too: they fire late after a suspension, and what they start asks this clock.
+The clock never steps, and it includes time during which the machine was suspended. On Linux,
+``time.monotonic`` excludes that time: after a suspension of ten seconds, all data that a process
+considers fresh would be ten seconds older than its computed age. Timers of the event loop exclude
+it too, so they fire late after a suspension; the code that they run must read this clock.
 """
 
 import time
 
-_COUNTS_SUSPENSION: int | None = getattr(time, "CLOCK_BOOTTIME", None)
-"""Linux has it; elsewhere the steady clock stands in."""
+_SUSPENSION_AWARE_CLOCK: int | None = getattr(time, "CLOCK_BOOTTIME", None)
+"""Identifier of the clock on Linux; ``None`` elsewhere, where ``time.monotonic`` is used."""
 
 
-def running() -> float:
-    """Return the time on the clock of the event loop's timers: it stands still in a suspension."""
+def loop_time() -> float:
+    """Return the time of the event loop's timers in seconds, which excludes suspensions."""
     return time.monotonic()
 
 
 def now() -> float:
-    """Return the time in seconds since a moment that is the same for the life of the process.
+    """Return the time in seconds since a fixed point, the same for the life of the process.
 
     >>> now() <= now()
     True
     """
-    if _COUNTS_SUSPENSION is None:
+    if _SUSPENSION_AWARE_CLOCK is None:
         return time.monotonic()
-    return time.clock_gettime(_COUNTS_SUSPENSION)
+    return time.clock_gettime(_SUSPENSION_AWARE_CLOCK)
 
 
-LEAST_SECONDS = 0.001
-"""Time still given to what is due or overdue; the platform counts in whole milliseconds."""
+MIN_REMAINING_SECONDS = 0.001
+"""Remaining time of work that is due or overdue; the platform counts whole milliseconds."""
 
 
 def at_least_a_moment(seconds: float) -> float:
-    """Return a time that is left, and not nothing where it is over: that would mean no bound.
+    """Return the remaining time, at least 0.001 s: zero or less would mean "no limit".
 
     >>> at_least_a_moment(2.0), at_least_a_moment(-2.0)
     (2.0, 0.001)
     """
-    return max(LEAST_SECONDS, seconds)
+    return max(MIN_REMAINING_SECONDS, seconds)
 
 
 class SuspensionMeter:
-    """Measures for how long the machine was suspended, by the clock that stood still meanwhile."""
+    """Measures how long the machine was suspended, from two clocks of which one then stops."""
 
     def __init__(self) -> None:
-        self._ahead = now() - running()
+        self._offset = now() - loop_time()
 
     def measure(self) -> float:
         """Return the seconds of suspension since the last measurement."""
-        ahead = now() - running()
-        suspended, self._ahead = ahead - self._ahead, ahead
+        offset = now() - loop_time()
+        suspended, self._offset = offset - self._offset, offset
         return max(0.0, suspended)
--- a/src/corkcrank/contracts/configuration.py
+++ b/src/corkcrank/contracts/configuration.py
@@ -1,7 +1,7 @@
-"""The shared configuration: what operators confirm and every daemon enforces.
+"""The shared configuration, which operators confirm and every daemon enforces.
 
-A configuration is an immutable document with a rising version. It is kept in the
-platform's table; daemons only ever adopt a higher version (see
+A configuration is an immutable document with an increasing version number. It is stored
+in the platform's table. Daemons adopt only a higher version (see
 :mod:`corkcrank.contracts.adoption`).
 """
 
@@ -14,7 +14,7 @@
 
 
 class ServiceKind(StrEnum):
-    """What a back end of a service does."""
+    """The kind of work that the back ends of a service do."""
 
     ENGINE = "engine"
     ENCODER = "encoder"
@@ -24,14 +24,14 @@
 
 
 class Tier(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A priority that tenants pay for; a lower ``rank`` is served first."""
+    """A paid priority level of tenants; a lower ``rank`` is served first."""
 
     name: str
     rank: int
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A paying organisation, its tier and its quota over all gateways."""
+    """A customer organisation with its tier and its quota across all gateways."""
 
     name: TenantName
     tier: str
@@ -41,7 +41,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A named group of equal back ends.
+    """A named group of interchangeable back ends.
 
     ``unrepeatable`` names the operations of a plain service that may run at most once.
     ``cost_per_second`` is the price of one second of a back end's work.
@@ -55,7 +55,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One step of a pipeline; ``expected_seconds`` seeds the admission estimate."""
+    """One step of a pipeline; ``expected_seconds`` is the initial estimate for admission."""
 
     service: ServiceName
     expected_seconds: float
@@ -63,7 +63,7 @@
 
 
 class Pipeline(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An ordered chain of stages under one default deadline in seconds."""
+    """An ordered chain of stages with one default deadline in seconds."""
 
     name: PipelineName
     stages: tuple[Stage, ...]
@@ -72,14 +72,14 @@
 
 
 class Placement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The models that one engine shall hold."""
+    """The models that one engine must have loaded."""
 
     worker: WorkerId
     models: tuple[str, ...]
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One whole version of the shared configuration."""
+    """One complete version of the shared configuration."""
 
     version: int
     tiers: tuple[Tier, ...] = ()
@@ -91,7 +91,7 @@
 
 
 class ConfigurationIndex:
-    """Lookup tables over one configuration, built once at adoption."""
+    """Lookup tables for one configuration, built once at adoption."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -102,7 +102,7 @@
         self.drained = frozenset(configuration.drained_workers)
 
     def tenant_for_key(self, api_key: str) -> Tenant | None:
-        """Return the tenant that owns ``api_key``."""
+        """Return the tenant that owns ``api_key``, or ``None``."""
         return self._tenants.get(digest_api_key(api_key))
 
     def rank(self, tenant: Tenant) -> int:
@@ -110,16 +110,16 @@
         return self._tiers[tenant.tier].rank
 
     def service(self, name: str) -> Service | None:
-        """Return the service called ``name``."""
+        """Return the service called ``name``, or ``None``."""
         return self._services.get(ServiceName(name))
 
     def pipeline(self, name: str) -> Pipeline | None:
-        """Return the pipeline called ``name``."""
+        """Return the pipeline called ``name``, or ``None``."""
         return self._pipelines.get(PipelineName(name))
 
 
 def digest_api_key(api_key: str) -> str:
-    """Return the stored form of an API key.
+    """Return the SHA-256 hex digest under which an API key is stored.
 
     >>> digest_api_key("k")[:8]
     '8254c329'
@@ -128,12 +128,12 @@
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Return the JSON form kept in the table and told between peers."""
+    """Return the JSON form that is stored in the table and sent between peers."""
     return msgspec.json.encode(configuration)
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """Return the configuration held in ``data``; raises ``msgspec.ValidationError``."""
+    """Return the configuration encoded in ``data``; raises ``msgspec.ValidationError``."""
     return msgspec.json.decode(data, type=Configuration)
 
 
@@ -160,12 +160,12 @@
 def _tenant_problems(configuration: Configuration) -> list[str]:
     tiers = {tier.name for tier in configuration.tiers}
     problems = [
-        f"tenant {tenant.name!r} names the unknown tier {tenant.tier!r}"
+        f"tenant {tenant.name!r} refers to the unknown tier {tenant.tier!r}"
         for tenant in configuration.tenants
         if tenant.tier not in tiers
     ]
     problems += [
-        f"tenant {tenant.name!r} needs a positive quota"
+        f"tenant {tenant.name!r} needs requests_per_second above 0 and burst of at least 1"
         for tenant in configuration.tenants
         if tenant.requests_per_second <= 0 or tenant.burst < 1
     ]
@@ -177,13 +177,13 @@
     problems: list[str] = []
     for pipeline in configuration.pipelines:
         if not pipeline.stages:
-            problems.append(f"pipeline {pipeline.name!r} has no stage")
+            problems.append(f"pipeline {pipeline.name!r} has no stages")
         if pipeline.deadline_seconds <= 0:
             problems.append(f"pipeline {pipeline.name!r} needs a positive deadline")
         for stage in pipeline.stages:
             if kinds.get(stage.service) in (None, ServiceKind.PLAIN):
                 problems.append(
-                    f"pipeline {pipeline.name!r} names {stage.service!r}, "
-                    "which is no encoder, retriever, reranker or engine service"
+                    f"pipeline {pipeline.name!r} refers to {stage.service!r}, "
+                    "which is not an encoder, retriever, reranker or engine service"
                 )
     return problems
--- a/src/corkcrank/contracts/identifiers.py
+++ b/src/corkcrank/contracts/identifiers.py
@@ -1,4 +1,4 @@
-"""Typed identifiers and their generators."""
+"""Distinct string types for identifiers, and generators of unique ones."""
 
 import uuid
 from typing import NewType
--- a/src/corkcrank/contracts/life_cycle.py
+++ b/src/corkcrank/contracts/life_cycle.py
@@ -1,7 +1,7 @@
-"""Life cycles as state machines defined once per class.
+"""Life cycles of objects as state machines, defined once per class.
 
-``transitions`` checks that each step is allowed. One machine serves every instance of a
-class, because attaching a model per instance costs more than the step itself.
+The ``transitions`` library checks that each transition is allowed. All instances of a class
+share one machine, because attaching a model per instance costs more than the transition.
 """
 
 from collections.abc import Sequence
@@ -12,12 +12,12 @@
 
 
 class IllegalTransitionError(Exception):
-    """A life cycle was asked for a step that its present state does not allow."""
+    """The trigger is not allowed in the current state of the object."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """An allowed step: ``trigger`` leads from any of ``sources`` to ``target``."""
+    """An allowed transition: ``trigger`` leads from any of ``sources`` to ``target``."""
 
     trigger: StrEnum
     sources: tuple[StrEnum, ...]
@@ -25,7 +25,7 @@
 
 
 class LifeCycle:
-    """The life cycle of a class of objects that keep their state in ``state``."""
+    """State machine for a class of objects that keep their state in the attribute ``state``."""
 
     def __init__(self, states: type[StrEnum], steps: Sequence[Step]) -> None:
         self._machine = Machine(
@@ -44,7 +44,7 @@
         )
 
     def fire(self, subject: object, trigger: StrEnum) -> None:
-        """Move ``subject`` one step; raises :class:`IllegalTransitionError`."""
+        """Apply one transition to ``subject``; raises :class:`IllegalTransitionError`."""
         try:
             self._machine.events[str(trigger)].trigger(subject)
         except MachineError as error:
--- a/src/corkcrank/contracts/messages.py
+++ b/src/corkcrank/contracts/messages.py
@@ -1,4 +1,4 @@
-"""Messages exchanged with back ends and callers, as JSON bodies."""
+"""Messages exchanged with back ends and callers as JSON bodies."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
 
 
 class StageCall(msgspec.Struct, frozen=True):
-    """A call to an encoder, retriever or reranker; the answer must echo its ids."""
+    """A call to an encoder, retriever or reranker; the answer must repeat its identifiers."""
 
     request: RequestId
     stage: int
@@ -31,7 +31,7 @@
 
 
 class StageAnswer(msgspec.Struct, frozen=True):
-    """The answer to a :class:`StageCall`; ``busy_seconds`` is the back end's own work."""
+    """The answer to a :class:`StageCall`; ``busy_seconds`` is the back end's processing time."""
 
     request: RequestId
     stage: int
@@ -43,7 +43,7 @@
 
 
 class GenerateCall(msgspec.Struct, frozen=True):
-    """A call to an engine; ``offset`` is the index of the first token wanted."""
+    """A call to an engine; ``offset`` is the index of the first requested token."""
 
     request: RequestId
     stage: int
@@ -60,7 +60,7 @@
 class TokenChunk(msgspec.Struct, frozen=True):
     """One line of an engine's stream.
 
-    The last line has ``last`` set, no token, and ``index`` equal to the number of tokens.
+    The final line has ``last`` set, no token, and ``index`` equal to the number of tokens.
     """
 
     attempt: AttemptId
@@ -92,9 +92,9 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """A back end's own report of its load and of what it holds.
+    """A back end's report of its load and its loaded models.
 
-    ``boot`` is the incarnation that the platform's list names, too.
+    ``boot`` is the same incarnation as in the platform's machine list.
     """
 
     worker: WorkerId
@@ -119,14 +119,14 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's list; ``version`` rises with each change."""
+    """The platform's list of back ends; ``version`` increases with each change."""
 
     version: int
     workers: tuple[WorkerEntry, ...]
 
 
 class ModelOrder(msgspec.Struct, frozen=True):
-    """A fenced order that states the models an engine shall hold."""
+    """An order, fenced by ``fence``, that lists the models an engine must have loaded."""
 
     service: str
     worker: WorkerId
--- a/src/corkcrank/contracts/plans.py
+++ b/src/corkcrank/contracts/plans.py
@@ -1,7 +1,7 @@
-"""Intents and plans: how operators change the shared configuration.
+"""Intents and plans, by which operators change the shared configuration.
 
-An intent gives a plan, which names the version it was drawn from and every change. A
-confirm takes effect only while that version is still the one in force.
+An intent produces a plan, which lists every change and the version on which it is based.
+A confirmation takes effect only while that version is still in force.
 """
 
 from enum import StrEnum
@@ -20,13 +20,13 @@
 
 
 class ReplaceConfiguration(msgspec.Struct, frozen=True, tag="replace"):
-    """Put a whole configuration in place."""
+    """Replace the whole configuration."""
 
     configuration: Configuration
 
 
 class PutPipeline(msgspec.Struct, frozen=True, tag="pipeline"):
-    """Add a pipeline, or change the one of the same name."""
+    """Add a pipeline, or replace the one of the same name."""
 
     pipeline: Pipeline
 
@@ -39,7 +39,7 @@
 
 
 class SetTenantQuota(msgspec.Struct, frozen=True, tag="quota"):
-    """Change a tenant's quota over all gateways."""
+    """Change a tenant's quota across all gateways."""
 
     tenant: TenantName
     requests_per_second: float
@@ -47,14 +47,14 @@
 
 
 class DrainWorker(msgspec.Struct, frozen=True, tag="drain"):
-    """Give a back end no new work, or let it have work again."""
+    """Stop giving new work to a back end, or resume if ``drained`` is false."""
 
     worker: WorkerId
     drained: bool = True
 
 
 class PlaceModels(msgspec.Struct, frozen=True, tag="place"):
-    """State the models that an engine shall hold."""
+    """Set the models that an engine must have loaded."""
 
     worker: WorkerId
     models: tuple[str, ...]
@@ -66,14 +66,14 @@
 
 
 class PlanState(StrEnum):
-    """Where a plan stands."""
+    """State of a plan."""
 
     DRAWN = "drawn"
     CONFIRMED = "confirmed"
 
 
 class PlanRow(msgspec.Struct, frozen=True):
-    """A plan as kept in the table."""
+    """A plan as stored in the table."""
 
     plan_id: str
     base_version: int
@@ -92,7 +92,7 @@
 
 
 class ConfirmAnswer(msgspec.Struct, frozen=True):
-    """The answer to a confirm; a stale plan comes with a fresh one."""
+    """The answer to a confirmation; for a stale plan it contains a fresh plan."""
 
     code: int
     name: str
@@ -101,13 +101,13 @@
 
 
 def view_of(row: PlanRow) -> PlanView:
-    """Return what operators see of a plan."""
+    """Return the part of a plan that is shown to operators."""
     return PlanView(row.plan_id, row.base_version, row.state, row.changes)
 
 
 def apply_intent(configuration: Configuration, intent: Intent) -> Result[Configuration, Failure]:
-    """Return the configuration of the next version, or why the intent gives none."""
-    changed = _change(configuration, intent)
+    """Return the next version of the configuration, or the reason why the intent is invalid."""
+    changed = _changed_configuration(configuration, intent)
     if isinstance(changed, str):
         return Error(Failure(ResultCode.INTENT_INVALID, changed))
     after = msgspec.structs.replace(changed, version=configuration.version + 1)
@@ -117,7 +117,7 @@
     return Ok(after)
 
 
-def _change(before: Configuration, intent: Intent) -> Configuration | str:
+def _changed_configuration(before: Configuration, intent: Intent) -> Configuration | str:
     match intent:
         case ReplaceConfiguration():
             return intent.configuration
@@ -125,24 +125,24 @@
             others = tuple(item for item in before.pipelines if item.name != pipeline.name)
             return msgspec.structs.replace(before, pipelines=(*others, pipeline))
         case SetTenantTier(tenant=tenant, tier=tier):
-            return _change_tenant(before, tenant, tier=tier)
+            return _with_changed_tenant(before, tenant, tier=tier)
         case SetTenantQuota(tenant=tenant, requests_per_second=rate, burst=burst):
-            return _change_tenant(before, tenant, requests_per_second=rate, burst=burst)
+            return _with_changed_tenant(before, tenant, requests_per_second=rate, burst=burst)
         case DrainWorker(worker=worker, drained=drained):
-            rest = tuple(item for item in before.drained_workers if item != worker)
-            now = (*rest, worker) if drained else rest
-            return msgspec.structs.replace(before, drained_workers=now)
+            other_workers = tuple(item for item in before.drained_workers if item != worker)
+            drained_workers = (*other_workers, worker) if drained else other_workers
+            return msgspec.structs.replace(before, drained_workers=drained_workers)
         case PlaceModels(worker=worker, models=models):
             others_placed = tuple(item for item in before.placements if item.worker != worker)
             placement = Placement(worker, models)
             return msgspec.structs.replace(before, placements=(*others_placed, placement))
 
 
-def _change_tenant(
+def _with_changed_tenant(
     before: Configuration, name: TenantName, **changes: str | float
 ) -> Configuration | str:
     if all(tenant.name != name for tenant in before.tenants):
-        return f"no tenant is called {name!r}"
+        return f"tenant {name!r} does not exist"
     tenants = tuple(
         msgspec.structs.replace(tenant, **changes) if tenant.name == name else tenant
         for tenant in before.tenants
@@ -151,7 +151,7 @@
 
 
 def describe_changes(before: Configuration, after: Configuration) -> tuple[str, ...]:
-    """Return one line for each thing that differs.
+    """Return one line for each difference between two configurations.
 
     >>> describe_changes(Configuration(version=1), Configuration(version=2))
     ()
@@ -172,9 +172,12 @@
     old = {_name_of(item): item for item in before}
     new = {_name_of(item): item for item in after}
     lines = [f"remove {field}/{name}" for name in sorted(old.keys() - new.keys())]
-    lines += [f"add {field}/{name}: {_text(new[name])}" for name in sorted(new.keys() - old.keys())]
     lines += [
-        f"change {field}/{name}: {_text(old[name])} -> {_text(new[name])}"
+        f"add {field}/{name}: {_as_json_text(new[name])}"
+        for name in sorted(new.keys() - old.keys())
+    ]
+    lines += [
+        f"change {field}/{name}: {_as_json_text(old[name])} -> {_as_json_text(new[name])}"
         for name in sorted(old.keys() & new.keys())
         if old[name] != new[name]
     ]
@@ -185,5 +188,5 @@
     return str(getattr(item, "name", None) or getattr(item, "worker", ""))
 
 
-def _text(item: msgspec.Struct) -> str:
+def _as_json_text(item: msgspec.Struct) -> str:
     return msgspec.json.encode(item).decode()
--- a/src/corkcrank/contracts/process_life.py
+++ b/src/corkcrank/contracts/process_life.py
@@ -1,4 +1,4 @@
-"""Life cycle of a daemon: starting, serving, draining, stopped."""
+"""The life cycle of a daemon process: starting, serving, draining, stopped."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class ProcessState(StrEnum):
-    """What a daemon is doing."""
+    """State of a daemon process."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -15,7 +15,7 @@
 
 
 class ProcessTrigger(StrEnum):
-    """Steps of a daemon's life."""
+    """Transitions of a daemon process."""
 
     SERVE = "serve"
     DRAIN = "drain"
@@ -37,7 +37,7 @@
 
 
 class ProcessLife:
-    """One daemon's state.
+    """The current state of one daemon process.
 
     >>> life = ProcessLife()
     >>> life.fire(ProcessTrigger.SERVE), life.state
@@ -50,7 +50,7 @@
         self.state = ProcessState.STARTING.value
 
     def fire(self, trigger: ProcessTrigger) -> bool:
-        """Take a step if it is allowed; return whether it was."""
+        """Apply a transition if it is allowed; return whether it was."""
         try:
             _PROCESS_LIFE_CYCLE.fire(self, trigger)
         except IllegalTransitionError:
@@ -59,5 +59,5 @@
 
     @property
     def draining(self) -> bool:
-        """Return whether a planned stop has begun."""
+        """Return whether a planned stop has begun or is complete."""
         return self.state in (ProcessState.DRAINING, ProcessState.STOPPED)
--- a/src/corkcrank/contracts/rendezvous.py
+++ b/src/corkcrank/contracts/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every process that knows the same nodes finds the same owner."""
+"""Rendezvous hashing: processes with the same node list choose the same owner for a key."""
 
 import math
 
@@ -8,7 +8,7 @@
 
 
 def rendezvous_weight(key: str, node: str) -> int:
-    """Return the hash of ``key`` on ``node``; the node with the highest owns the key.
+    """Return the hash of ``key`` with ``node``; the node with the highest hash owns the key.
 
     >>> max(("a", "b"), key=lambda node: rendezvous_weight("key", node)) in ("a", "b")
     True
@@ -17,7 +17,10 @@
 
 
 def weighted_rendezvous(key: str, node: str, weight: float) -> float:
-    """Return a score whose highest holder owns the key; shares follow the weights.
+    """Return the weighted score of ``node`` for ``key``.
+
+    The node with the highest score owns the key. Each node's share of the keys is
+    proportional to its weight.
 
     >>> scores = {node: weighted_rendezvous("key", node, 1.0) for node in ("a", "b")}
     >>> max(scores, key=scores.get) in ("a", "b")
--- a/src/corkcrank/contracts/settings.py
+++ b/src/corkcrank/contracts/settings.py
@@ -1,4 +1,4 @@
-"""Local settings of a daemon, read from TOML and checked before anything starts."""
+"""Local settings of a daemon, read from a TOML file and validated before it starts."""
 
 import re
 import tomllib
@@ -11,14 +11,14 @@
 from corkcrank.contracts.identifiers import Address, MemberId, ZoneName
 from corkcrank.contracts.result_codes import Failure, ResultCode
 
-MAXIMUM_BODY_BYTES = 1 << 20
-"""Default limit on a caller's body."""
+DEFAULT_MAX_BODY_BYTES = 1 << 20
+"""Default limit on the size of a caller's request body."""
 
 _ADDRESS = re.compile(r"^(\d{1,3}(\.\d{1,3}){3}):(\d{1,5})$")
 
 
 class ProcessSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who and where a process is; addresses are ``ip:port``."""
+    """The name, zone and addresses (``ip:port``) of a process."""
 
     name: MemberId
     zone: ZoneName
@@ -27,28 +27,28 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     table: Address
     machine_list: Address
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Peers asked for a configuration while the table is away."""
+    """Peers from which a configuration is fetched while the table is unreachable."""
 
     seeds: tuple[Address, ...] = ()
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on requests and on a planned stop."""
+    """Limits for requests and for a planned stop."""
 
-    maximum_body_bytes: int = MAXIMUM_BODY_BYTES
+    maximum_body_bytes: int = DEFAULT_MAX_BODY_BYTES
     drain_linger_seconds: float = 2.0
     drain_limit_seconds: float = 60.0
 
 
 class Routing(StrEnum):
-    """How a back end is chosen."""
+    """Policies for choosing a back end."""
 
     PREFIX_AFFINITY = "prefix-affinity"
     TWO_CHOICES = "two-choices"
@@ -59,8 +59,8 @@
 class PolicySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Policies of a gateway.
 
-    ``admission`` refuses, and gives up, what cannot end before its deadline.
-    ``retry_share`` is the retries earned by each first attempt.
+    ``admission`` refuses or cancels requests that cannot complete before their deadline.
+    ``retry_share`` is the number of retries that each first attempt adds to the budget.
     """
 
     routing: Routing = Routing.PREFIX_AFFINITY
@@ -69,7 +69,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole settings file of a gateway or a controller."""
+    """The complete settings of a gateway or a controller."""
 
     process: ProcessSettings
     platform: PlatformSettings
@@ -79,7 +79,7 @@
 
 
 def load_settings(path: Path, *, needs_caller_address: bool) -> Result[Settings, Failure]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -90,7 +90,7 @@
 def parse_settings(
     text: str, source: str, *, needs_caller_address: bool
 ) -> Result[Settings, Failure]:
-    """Check settings given as TOML text.
+    """Parse and validate settings given as TOML text; ``source`` names them in errors.
 
     >>> parse_settings("[process]", "f", needs_caller_address=False).error.code.name
     'SETTINGS_INVALID'
--- a/src/corkcrank/contracts/table_keys.py
+++ b/src/corkcrank/contracts/table_keys.py
@@ -1,13 +1,13 @@
-"""Names of the rows kept in the platform's table."""
+"""Keys of the rows that are stored in the platform's table."""
 
 import hashlib
 
 CONFIGURATION_HEAD = "configuration/head"
-"""Row that holds the committed version number."""
+"""Key of the row that holds the committed configuration version."""
 
 
 def configuration_document(version: int) -> str:
-    """Return the key of an immutable configuration document."""
+    """Return the key of the immutable configuration document of a version."""
     return f"configuration/version/{version}"
 
 
@@ -17,12 +17,12 @@
 
 
 def zone_lease(zone: str) -> str:
-    """Return the key of a zone's lease."""
+    """Return the key of the lease of a zone."""
     return f"lease/zone/{zone}"
 
 
 def claim(tenant: str, key: str) -> str:
-    """Return the key of a claim; the caller's key is hashed, so any text is safe.
+    """Return the key of a claim; the caller's idempotency key is hashed, so any text is valid.
 
     >>> claim("a", "x") != claim("ax", "")
     True
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -1,4 +1,4 @@
-"""A model of claims: the table, a back end that counts runs, and requests in flight."""
+"""Simulation of claims: a table, a back end that counts runs, and requests in flight."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -58,8 +58,8 @@
     reply: Reply | None = None
 
 
-class ClaimsWorld:
-    """Requests with few keys, carried out step by step under chosen faults."""
+class ClaimsSimulation:
+    """Requests with few distinct keys, executed step by step with injected faults."""
 
     def __init__(self, process_type: type[ClaimProcess]) -> None:
         self.process_type = process_type
@@ -72,15 +72,15 @@
         self.first_answer: dict[str, str] = {}
         self.started = 0
 
-    def arrive(self, key: str, body: str, patience: float) -> None:
+    def start_request(self, key: str, body: str, patience: float) -> None:
         self.started += 1
         process = self.process_type(AttemptId(f"t{self.started}"), body, self.now + patience)
         pending = process.handle(ClaimStarted(), self.now)
         self.requests.append(Request(key, body, process, pending))
 
-    def step(self, request: Request, fate: str, call: str) -> None:
+    def step_request(self, request: Request, fate: str, call: str) -> None:
         if request.pending:
-            self._carry_out(request, request.pending.pop(0), fate, call)
+            self._execute(request, request.pending.pop(0), fate, call)
         elif request.records:
             self._record(request, fate)
 
@@ -90,26 +90,28 @@
             assert isinstance(instruction, Reply)
             self._reply(request, instruction)
 
-    def land_late_insert(self, number: int) -> None:
+    def apply_late_insert(self, number: int) -> None:
         key, insert = self.late_inserts.pop(number)
         self.table.write(key, insert.row, insert.expected_revision)
 
-    def check(self) -> None:
-        assert max(self.runs.values(), default=0) <= 1, "a key ran twice"
+    def check_invariants(self) -> None:
+        assert max(self.runs.values(), default=0) <= 1, "a call with the same key ran twice"
         for request in self.requests:
             request.process.validate()
 
-    def _carry_out(
+    def _execute(
         self, request: Request, instruction: ClaimInstruction, fate: str, call: str
     ) -> None:
         match instruction:
             case InsertClaim():
-                self._feed(request, self._insert(request.key, instruction, fate))
+                self._handle_event(request, self._insert(request.key, instruction, fate))
             case ReadClaim():
                 lost = fate != "answered"
-                self._feed(request, TableUnanswered() if lost else self.table.read(request.key))
+                self._handle_event(
+                    request, TableUnanswered() if lost else self.table.read(request.key)
+                )
             case SendCall():
-                self._feed(request, self._call(request, call))
+                self._handle_event(request, self._call(request, call))
             case RecordRow(row=row):
                 request.records.append(row)
             case Reply():
@@ -145,14 +147,16 @@
         if fate == "answered":
             request.records.pop(0)
 
-    def _feed(self, request: Request, event: ClaimEvent) -> None:
+    def _handle_event(self, request: Request, event: ClaimEvent) -> None:
         request.pending += request.process.handle(event, self.now)
 
     def _reply(self, request: Request, reply: Reply) -> None:
-        assert request.reply is None, "one final answer"
+        assert request.reply is None, "a request got a second final answer"
         request.reply = reply
         if reply.ran == Ran.NO:
-            assert request.body not in self.run_bodies[request.key], "told not run, but ran"
+            assert request.body not in self.run_bodies[request.key], (
+                "reported as not run, but it ran"
+            )
         if reply.code is ResultCode.OK:
             assert self.runs[request.key] == 1
             assert self.first_answer.setdefault(request.key, reply.answer) == reply.answer
--- a/tests/core/test_configuration_adoption.py
+++ b/tests/core/test_configuration_adoption.py
@@ -1,4 +1,8 @@
-"""Adoption of configuration versions, and operators racing on plans."""
+"""Guards against daemons that revert to or admit under an old configuration version.
+
+Daemons receive versions late, twice or out of order. Operators that confirm plans at the
+same time, with table answers lost, must each see the result of their own plan.
+"""
 
 import asyncio
 import random
@@ -30,7 +34,7 @@
 
 
 class AdoptionMachine(RuleBasedStateMachine):
-    """Daemons that hear of versions late, doubled, reordered, or not at all."""
+    """Daemons that receive versions late, twice, out of order, or not at all."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +45,7 @@
         self.highest = [0] * DAEMONS
 
     @rule()
-    def commit(self) -> None:
+    def commit_version(self) -> None:
         self.committed += 1
         self.committed_at[self.committed] = self.now
 
@@ -50,18 +54,18 @@
         self.now += seconds
 
     @rule(number=st.integers(0, DAEMONS - 1), age=st.sampled_from((0.0, 0.5, 30.0)))
-    def answer_to_question(self, number: int, age: float) -> None:
-        # The answer is read only now, by a process that may have been frozen since asking.
+    def apply_response(self, number: int, age: float) -> None:
+        # The process reads the response only now; it may have been frozen since the request.
         asked_at = max(0.0, self.now - age)
         known = max(v for v, at in self.committed_at.items() if at <= asked_at)
         self.daemons[number].confirm(known, asked_at)
 
     @rule(number=st.integers(0, DAEMONS - 1), version=st.integers(1, 50))
-    def old_message(self, number: int, version: int) -> None:
+    def receive_announcement(self, number: int, version: int) -> None:
         self.daemons[number].announce(min(version, self.committed))
 
     @rule(number=st.integers(0, DAEMONS - 1), version=st.integers(1, 50))
-    def fetch(self, number: int, version: int) -> None:
+    def fetch_configuration(self, number: int, version: int) -> None:
         configuration = Configuration(version=min(version, self.committed))
         self.daemons[number].adopt(configuration, self.now)
 
@@ -73,7 +77,7 @@
             self.highest[number] = daemon.version
 
     @invariant()
-    def nobody_admits_under_a_version_superseded_too_long_ago(self) -> None:
+    def no_daemon_admits_under_a_version_superseded_too_long_ago(self) -> None:
         for daemon in self.daemons:
             newer_at = self.committed_at.get(daemon.version + 1)
             if newer_at is not None and daemon.may_admit(self.now):
@@ -87,7 +91,7 @@
 
 
 class FaultyTable:
-    """A table in memory whose answers get lost before or after they took effect."""
+    """An in-memory table; answers are lost before or after a write took effect."""
 
     def __init__(self, source: random.Random) -> None:
         self.rows: dict[str, Row] = {}
@@ -127,7 +131,9 @@
         return Committed(tuple(self.row(write.key) for write in writes))
 
 
-async def operator(table: FaultyTable, name: str, confirmed: list[tuple[str, int]]) -> None:
+async def drain_as_operator(
+    table: FaultyTable, name: str, confirmed: list[tuple[str, int]]
+) -> None:
     planner = Planner(table)
     worker = WorkerId(name)
     for _ in range(6):
@@ -145,18 +151,18 @@
 
 @settings(max_examples=150)
 @given(seed=st.integers(0, 1 << 32))
-def test_racing_operators_each_confirm_what_they_saw(seed: int) -> None:
+def test_concurrent_operators_each_confirm_their_own_plan(seed: int) -> None:
     planning.SETTLE_PAUSE_SECONDS = 0.0
     table = FaultyTable(random.Random(seed))
     confirmed: list[tuple[str, int]] = []
 
     async def race() -> None:
         names = [f"w{number}" for number in range(4)]
-        await asyncio.gather(*(operator(table, name, confirmed) for name in names))
+        await asyncio.gather(*(drain_as_operator(table, name, confirmed) for name in names))
 
     asyncio.run(race())
     versions = [version for _, version in confirmed]
-    assert len(set(versions)) == len(versions), "two confirms share a version"
+    assert len(set(versions)) == len(versions), "two confirmations have the same version"
     head = table.row(table_keys.CONFIGURATION_HEAD)
     assert head.value is None or int(head.value) == max(versions, default=0)
     for name, version in confirmed:
@@ -165,7 +171,7 @@
         assert name in decode_configuration(document.encode()).drained_workers
 
 
-async def test_stale_plan_is_refused_with_a_fresh_one() -> None:
+async def test_stale_plan_is_refused_and_returned_with_a_fresh_plan() -> None:
     table = FaultyTable(random.Random(1))
     table.faulty = False
     planner = Planner(table)
@@ -176,14 +182,16 @@
     assert stale.code == ResultCode.PLAN_STALE.number
     assert stale.fresh_plan is not None
     assert stale.fresh_plan.base_version == 1
-    assert (await planner.confirm(first.plan_id)).ok.version == 1, "a repeat changes nothing"
+    assert (await planner.confirm(first.plan_id)).ok.version == 1, (
+        "a repeated confirmation must change nothing"
+    )
 
 
-async def test_invalid_intent_names_every_problem() -> None:
+async def test_replacement_and_undrain_of_unknown_worker_are_accepted() -> None:
     table = FaultyTable(random.Random(1))
     table.faulty = False
-    twice = Configuration(version=0, tiers=(Tier("a", 0),), services=())
-    wrong = ReplaceConfiguration(twice)
-    assert (await Planner(table).draw(wrong)).is_ok()
-    unknown = DrainWorker(WorkerId("a"), drained=False)
-    assert (await Planner(table).draw(unknown)).ok.changes == ()
+    one_tier = Configuration(version=0, tiers=(Tier("a", 0),), services=())
+    replacement = ReplaceConfiguration(one_tier)
+    assert (await Planner(table).draw(replacement)).is_ok()
+    undrain = DrainWorker(WorkerId("a"), drained=False)
+    assert (await Planner(table).draw(undrain)).ok.changes == ()
--- a/tests/test_result_codes.py
+++ b/tests/test_result_codes.py
@@ -1,4 +1,4 @@
-"""The documented result code table equals the code."""
+"""Guards against a documentation page of result codes that differs from the code."""
 
 from pathlib import Path
 
@@ -8,14 +8,14 @@
 PAGE = Path(__file__).parent.parent / "docs" / "RESULT-CODES.md"
 
 
-def test_page_holds_the_table_of_the_code() -> None:
+def test_page_contains_the_current_table() -> None:
     assert format_codes() in PAGE.read_text(encoding="utf-8")
 
 
-def test_numbers_are_unique_and_refusals_are_not_run() -> None:
+def test_numbers_are_unique_and_refused_calls_did_not_run() -> None:
     numbers = [code.number for code in ResultCode]
     assert len(set(numbers)) == len(numbers)
-    unsure = {ResultCode.CLAIM_STORE_UNAVAILABLE}
+    unknown_outcome = {ResultCode.CLAIM_STORE_UNAVAILABLE}
     for code in ResultCode:
-        if code.number // 1000 == 3 and code not in unsure:
+        if code.number // 1000 == 3 and code not in unknown_outcome:
             assert code.ran == Ran.NO
