--- a/benchmarks/test_bounds.py
+++ b/benchmarks/test_bounds.py
@@ -8,7 +8,7 @@
 
 from corkcrank.contracts.claims import ClaimProcess, ClaimStarted, InsertCommitted
 from corkcrank.contracts.identifiers import AttemptId, WorkerId
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.links.claim_writer import ClaimWriter
 from corkcrank.links.table import Committed, Condition, Row, Rows, Write
 from corkcrank.machines.routing import Candidate, PrefixAffinity
@@ -47,7 +47,7 @@
     candidates = [Candidate(WorkerId(f"w{number}"), 1.0, 16) for number in range(CANDIDATES)]
     benchmark(policy.choose, candidates, "prefix")
     stats = benchmark.stats.stats
-    baseline = min_seconds(lambda: rendezvous_weight("prefix", "w1"))
+    baseline = min_seconds(lambda: rendezvous_hash("prefix", "w1"))
     assert stats.min <= MAXIMUM_HASHES_PER_CHOICE * baseline
 
 
@@ -60,11 +60,11 @@
 def test_claim_costs_a_few_transitions(benchmark: BenchmarkFixture) -> None:
     def claim() -> None:
         process = ClaimProcess(AttemptId("a"), "digest", 10.0)
-        process.handle(ClaimStarted(), 0.0)
-        process.handle(InsertCommitted(), 0.1)
+        process.handle_event(ClaimStarted(), 0.0)
+        process.handle_event(InsertCommitted(), 0.1)
 
     benchmark(claim)
-    baseline = min_seconds(lambda: rendezvous_weight("prefix", "w1"))
+    baseline = min_seconds(lambda: rendezvous_hash("prefix", "w1"))
     assert benchmark.stats.stats.min <= 300 * baseline
 
 
--- a/src/corkcrank/contracts/adoption.py
+++ b/src/corkcrank/contracts/adoption.py
@@ -29,24 +29,24 @@
         return self.index.configuration.version if self.index is not None else 0
 
     @property
-    def wanted_version(self) -> int | None:
+    def version_to_fetch(self) -> int | None:
         """Return the version to fetch, or ``None`` if the newest known one is in force."""
         return self.announced_version if self.announced_version > self.version else None
 
-    def announce(self, version: int) -> None:
+    def record_announced_version(self, version: int) -> None:
         """Record a committed version from a message of unknown age."""
         self.announced_version = max(self.announced_version, version)
 
-    def confirm(self, version: int, asked_at: float) -> None:
+    def record_confirmed_version(self, version: int, asked_at: float) -> None:
         """Record the committed version from the response to a request sent at ``asked_at``.
 
         The time of the request counts, not the time at which the response is read: a
         process that was frozen reads old responses when it resumes.
         """
-        self.announce(version)
+        self.record_announced_version(version)
         self.confirmed_at = max(asked_at, self.confirmed_at or asked_at)
 
-    def adopt(self, configuration: Configuration, now: float) -> bool:
+    def adopt_if_newer(self, configuration: Configuration, now: float) -> bool:
         """Put ``configuration`` in force if it is newer; return whether it was newer.
 
         >>> adoption = ConfigurationAdoption()
@@ -66,7 +66,7 @@
         """Return whether requests may be admitted under the version in force at time ``now``."""
         if self.index is None or self.confirmed_at is None:
             return False
-        if self.wanted_version is not None:
+        if self.version_to_fetch is not None:
             return False
         return now - self.confirmed_at <= CONFIRMATION_LIMIT_SECONDS
 
--- a/src/corkcrank/contracts/claims.py
+++ b/src/corkcrank/contracts/claims.py
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallBroken:
+class CallInterrupted:
     """The call was interrupted after bytes may have left this process."""
 
 
@@ -135,7 +135,7 @@
     | TableUnanswered
     | CallAnswered
     | CallNotSent
-    | CallBroken
+    | CallInterrupted
     | DeadlineReached
 )
 
@@ -194,7 +194,7 @@
         self.replied = False
         self.sends = 0
 
-    def handle(self, event: ClaimEvent, now: float) -> list[ClaimInstruction]:
+    def handle_event(self, event: ClaimEvent, now: float) -> list[ClaimInstruction]:
         """Apply one event at time ``now`` (seconds of :mod:`clock`) and return instructions."""
         match event:
             case ClaimStarted():
@@ -210,8 +210,8 @@
                 return self._on_call_answered(event)
             case CallNotSent():
                 return self._on_call_not_sent(now)
-            case CallBroken():
-                return self._on_call_broken()
+            case CallInterrupted():
+                return self._on_call_interrupted()
             case DeadlineReached():
                 return self._on_deadline()
 
@@ -321,7 +321,7 @@
         CLAIM_LIFE_CYCLE.fire(self, ClaimTrigger.RETURN_UNSENT)
         return self._send_or_abandon(now)
 
-    def _on_call_broken(self) -> list[ClaimInstruction]:
+    def _on_call_interrupted(self) -> list[ClaimInstruction]:
         if self.state not in (ClaimState.SENT, ClaimState.OVERDUE):
             return []
         reply = self._reply_once(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
--- a/src/corkcrank/contracts/clock.py
+++ b/src/corkcrank/contracts/clock.py
@@ -32,7 +32,7 @@
 """Remaining time of work that is due or overdue; the platform counts whole milliseconds."""
 
 
-def at_least_a_moment(seconds: float) -> float:
+def clamp_remaining_seconds(seconds: float) -> float:
     """Return the remaining time, at least 0.001 s: zero or less would mean "no limit".
 
     >>> at_least_a_moment(2.0), at_least_a_moment(-2.0)
--- a/src/corkcrank/contracts/configuration.py
+++ b/src/corkcrank/contracts/configuration.py
@@ -99,21 +99,21 @@
         self._tiers = {tier.name: tier for tier in configuration.tiers}
         self._services = {service.name: service for service in configuration.services}
         self._pipelines = {pipeline.name: pipeline for pipeline in configuration.pipelines}
-        self.drained = frozenset(configuration.drained_workers)
+        self.drained_workers = frozenset(configuration.drained_workers)
 
     def tenant_for_key(self, api_key: str) -> Tenant | None:
         """Return the tenant that owns ``api_key``, or ``None``."""
         return self._tenants.get(digest_api_key(api_key))
 
-    def rank(self, tenant: Tenant) -> int:
+    def tenant_rank(self, tenant: Tenant) -> int:
         """Return the rank of the tenant's tier; zero is served first."""
         return self._tiers[tenant.tier].rank
 
-    def service(self, name: str) -> Service | None:
+    def get_service(self, name: str) -> Service | None:
         """Return the service called ``name``, or ``None``."""
         return self._services.get(ServiceName(name))
 
-    def pipeline(self, name: str) -> Pipeline | None:
+    def get_pipeline(self, name: str) -> Pipeline | None:
         """Return the pipeline called ``name``, or ``None``."""
         return self._pipelines.get(PipelineName(name))
 
--- a/src/corkcrank/contracts/plans.py
+++ b/src/corkcrank/contracts/plans.py
@@ -100,7 +100,7 @@
     fresh_plan: PlanView | None = None
 
 
-def view_of(row: PlanRow) -> PlanView:
+def to_plan_view(row: PlanRow) -> PlanView:
     """Return the part of a plan that is shown to operators."""
     return PlanView(row.plan_id, row.base_version, row.state, row.changes)
 
--- a/src/corkcrank/contracts/rendezvous.py
+++ b/src/corkcrank/contracts/rendezvous.py
@@ -7,7 +7,7 @@
 _HASH_RANGE = float(1 << 64)
 
 
-def rendezvous_weight(key: str, node: str) -> int:
+def rendezvous_hash(key: str, node: str) -> int:
     """Return the hash of ``key`` with ``node``; the node with the highest hash owns the key.
 
     >>> max(("a", "b"), key=lambda node: rendezvous_weight("key", node)) in ("a", "b")
@@ -16,7 +16,7 @@
     return xxhash.xxh3_64_intdigest(f"{key}\x00{node}".encode())
 
 
-def weighted_rendezvous(key: str, node: str, weight: float) -> float:
+def weighted_rendezvous_score(key: str, node: str, weight: float) -> float:
     """Return the weighted score of ``node`` for ``key``.
 
     The node with the highest score owns the key. Each node's share of the keys is
@@ -26,5 +26,5 @@
     >>> max(scores, key=scores.get) in ("a", "b")
     True
     """
-    uniform = (rendezvous_weight(key, node) + 0.5) / _HASH_RANGE
+    uniform = (rendezvous_hash(key, node) + 0.5) / _HASH_RANGE
     return -weight / math.log(uniform)
--- a/src/corkcrank/controller/planning.py
+++ b/src/corkcrank/controller/planning.py
@@ -26,7 +26,7 @@
     PlanView,
     apply_intent,
     describe_changes,
-    view_of,
+    to_plan_view,
 )
 from corkcrank.contracts.result_codes import Failure, ResultCode
 from corkcrank.links.table import Committed, Condition, Row, Table, Unanswered, Write
@@ -73,8 +73,8 @@
             await asyncio.sleep(SETTLE_PAUSE_SECONDS)
 
     async def _try_confirm(self, plan_id: str) -> Result[ConfirmAnswer, Failure] | Unanswered:
-        plan_key = table_keys.plan(plan_id)
-        read = await self._table.read((plan_key, table_keys.CONFIGURATION_HEAD))
+        plan_key = table_keys.plan_key(plan_id)
+        read = await self._table.read((plan_key, table_keys.CONFIGURATION_HEAD_KEY))
         if isinstance(read, Unanswered):
             return read
         plan_row, head_row = read.rows
@@ -99,7 +99,7 @@
         if applied.is_error():
             return Error(applied.error)
         after = applied.ok
-        document_key = table_keys.configuration_document(after.version)
+        document_key = table_keys.configuration_document_key(after.version)
         confirmed = msgspec.structs.replace(plan, state=PlanState.CONFIRMED)
         outcome = await self._table.commit(
             (
@@ -142,20 +142,20 @@
             intent=intent,
             changes=describe_changes(head.configuration, applied.ok),
         )
-        key = table_keys.plan(plan.plan_id)
+        key = table_keys.plan_key(plan.plan_id)
         outcome = await self._table.commit((Condition(key, 0),), (Write(key, _encode(plan)),))
         if not isinstance(outcome, Committed):
             return Error(_table_unavailable())
-        return Ok(view_of(plan))
+        return Ok(to_plan_view(plan))
 
     async def _read_head(self) -> _Head | None:
-        head = await self._table.read((table_keys.CONFIGURATION_HEAD,))
+        head = await self._table.read((table_keys.CONFIGURATION_HEAD_KEY,))
         if isinstance(head, Unanswered):
             return None
         version = head_version(head.rows[0])
         if version == 0:
             return _Head(head.rows[0], Configuration(version=0))
-        document = await self._table.read((table_keys.configuration_document(version),))
+        document = await self._table.read((table_keys.configuration_document_key(version),))
         if isinstance(document, Unanswered) or document.rows[0].value is None:
             return None
         return _Head(head.rows[0], decode_configuration(document.rows[0].value.encode()))
--- a/src/corkcrank/controller/routes.py
+++ b/src/corkcrank/controller/routes.py
@@ -81,7 +81,7 @@
     async def _confirm(self, request: web.Request) -> web.Response:
         result = await self._planner.confirm(request.match_info["plan_id"])
         if result.is_ok() and result.ok.code == ResultCode.OK.number:
-            self._agent.view.adoption.announce(result.ok.version)
+            self._agent.view.adoption.record_announced_version(result.ok.version)
             self._holder.wake_if_newer()
             await self._agent.send_heartbeat()
         return _respond(result)
--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -78,7 +78,7 @@
         if heartbeat.zone == self.zone:
             self.state.hear_heartbeat(heartbeat, clock.now())
             self.member_versions[heartbeat.member] = heartbeat.configuration_version
-            self._agent.view.adoption.announce(heartbeat.configuration_version)
+            self._agent.view.adoption.record_announced_version(heartbeat.configuration_version)
             self.wake_if_newer()
         return HeartbeatReply(
             configuration_version=self._agent.view.adoption.announced_version,
@@ -146,7 +146,7 @@
         zones: list[str] = [self.zone]
         if self.publishes:
             zones += sorted({row.zone for row in self.state.machine_list.workers} - {self.zone})
-        outcome = await self._table.read(tuple(table_keys.zone_lease(zone) for zone in zones))
+        outcome = await self._table.read(tuple(table_keys.zone_lease_key(zone) for zone in zones))
         if isinstance(outcome, Unanswered):
             return
         now = clock.now()
@@ -163,7 +163,7 @@
             await self._write_lease(write)
 
     async def _write_lease(self, write: WriteLease) -> None:
-        key = table_keys.zone_lease(self.zone)
+        key = table_keys.zone_lease_key(self.zone)
         sent_at = clock.now()
         outcome = await self._table.commit(
             (Condition(key, write.expected_revision),),
@@ -202,7 +202,7 @@
         if digest.directory is not None:
             self._remote_tables[zone] = KnownTables(digest.directory, digest.directory_hash)
         self.state.hear_remote(msgspec.structs.replace(digest, directory=None))
-        self._agent.view.adoption.announce(digest.configuration_version)
+        self._agent.view.adoption.record_announced_version(digest.configuration_version)
 
     def _publish(self) -> None:
         now = clock.now()
@@ -214,7 +214,7 @@
 
     async def _send_orders(self) -> None:
         index = self._agent.view.adoption.index
-        if index is None or self._agent.view.adoption.wanted_version is not None:
+        if index is None or self._agent.view.adoption.version_to_fetch is not None:
             return
         due = required_orders(
             index.configuration,
--- a/src/corkcrank/gateway/access_control.py
+++ b/src/corkcrank/gateway/access_control.py
@@ -99,7 +99,7 @@
         tenant = index.tenant_for_key(read_api_key(request))
         if tenant is None:
             return Error(Failure(ResultCode.UNKNOWN_API_KEY))
-        return Ok(Caller(identifier, tenant, index.rank(tenant), index, arrived))
+        return Ok(Caller(identifier, tenant, index.tenant_rank(tenant), index, arrived))
 
     def _closing(self, response: web.StreamResponse) -> web.StreamResponse:
         if self._life.draining and not response.prepared:
--- a/src/corkcrank/gateway/pipeline_handler.py
+++ b/src/corkcrank/gateway/pipeline_handler.py
@@ -57,7 +57,7 @@
         return Served(await stream.end(_answer(run)), ResultCode.OK)
 
     async def _admit(self, request: web.Request, caller: Caller) -> Result[PipelineRun, Failure]:
-        pipeline = caller.index.pipeline(request.match_info["pipeline"])
+        pipeline = caller.index.get_pipeline(request.match_info["pipeline"])
         if pipeline is None:
             return Error(Failure(ResultCode.UNKNOWN_PIPELINE, request.match_info["pipeline"]))
         body = await self._read_body(request)
--- a/src/corkcrank/gateway/pipeline_run.py
+++ b/src/corkcrank/gateway/pipeline_run.py
@@ -99,7 +99,7 @@
         question = self.text
         for number, stage in enumerate(self.pipeline.stages):
             started = clock.now()
-            service = self.index.service(stage.service)
+            service = self.index.get_service(stage.service)
             assert service is not None
             if service.kind == ServiceKind.ENGINE:
                 await self._generate(number, stage, service, question)
--- a/src/corkcrank/gateway/plain_handler.py
+++ b/src/corkcrank/gateway/plain_handler.py
@@ -63,7 +63,7 @@
         return await self._serve_repeatable(read.ok)
 
     async def _read(self, request: web.Request, caller: Caller) -> Result[PlainRequest, Failure]:
-        service = caller.index.service(request.match_info["service"])
+        service = caller.index.get_service(request.match_info["service"])
         if service is None or service.kind != ServiceKind.PLAIN:
             return Error(Failure(ResultCode.UNKNOWN_SERVICE, request.match_info["service"]))
         seconds = read_deadline_seconds(request, DEFAULT_DEADLINE_SECONDS)
--- a/src/corkcrank/gateway/plain_run.py
+++ b/src/corkcrank/gateway/plain_run.py
@@ -8,7 +8,7 @@
 from corkcrank.contracts import clock, table_keys
 from corkcrank.contracts.claims import (
     CallAnswered,
-    CallBroken,
+    CallInterrupted,
     CallNotSent,
     ClaimEvent,
     ClaimInstruction,
@@ -59,7 +59,7 @@
             f"{request.service.name}\x00{request.operation}\x00{request.body}".encode()
         )
         self._process = ClaimProcess(new_attempt_id(), digest, request.deadline)
-        self._key = table_keys.claim(request.tenant, request.key)
+        self._key = table_keys.claim_key(request.tenant, request.key)
         self.reply: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
     async def run(self) -> None:
@@ -73,16 +73,16 @@
                 self.reply.set_result(Reply(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN))
 
     async def _drive(self) -> None:
-        instructions = self._process.handle(ClaimStarted(), clock.now())
+        instructions = self._process.handle_event(ClaimStarted(), clock.now())
         while True:
             event = await self._carry_out(instructions)
             if event is None:
                 return
-            instructions = self._process.handle(event, clock.now())
+            instructions = self._process.handle_event(event, clock.now())
 
     async def _watch_deadline(self) -> None:
         await asyncio.sleep(max(0.0, self._request.deadline - clock.now()))
-        for instruction in self._process.handle(DeadlineReached(), clock.now()):
+        for instruction in self._process.handle_event(DeadlineReached(), clock.now()):
             if isinstance(instruction, Reply):
                 self._give(instruction)
 
@@ -117,7 +117,7 @@
             case NotSent():
                 return CallNotSent()
             case Broken():
-                return CallBroken()
+                return CallInterrupted()
 
 
 async def send_plain(
--- a/src/corkcrank/gateway/program.py
+++ b/src/corkcrank/gateway/program.py
@@ -88,7 +88,7 @@
 
     def _drained_workers(self) -> frozenset[WorkerId]:
         index = self.agent.view.adoption.index
-        return index.drained if index is not None else frozenset()
+        return index.drained_workers if index is not None else frozenset()
 
     def dump(self) -> GatewayDump:
         """Return the state for ``/dump``."""
--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.machines.fleet_view import FleetView
 from corkcrank.machines.heartbeat import Heartbeat, Phase
@@ -297,7 +297,7 @@
         """Return a sort key: same zone first, then an order of each gateway to spread requests."""
         name = member.heartbeat.name
         same_zone = member.heartbeat.zone == self.local_zone
-        return same_zone, rendezvous_weight(self.local_name, name)
+        return same_zone, rendezvous_hash(self.local_name, name)
 
 
 def _max_send_rate(receivers: int) -> float:
--- a/src/corkcrank/machines/fleet_view.py
+++ b/src/corkcrank/machines/fleet_view.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.machines.heartbeat import Phase, ServiceBacklog
 from corkcrank.machines.members import Member
 
@@ -120,6 +120,6 @@
             return None
         min_strength = MIN_STRONG_SHARE * max(self.strengths[name] for name in names)
         strong = [name for name in names if self.strengths[name] >= min_strength]
-        owner = max(strong, key=lambda name: rendezvous_weight(key, name))
+        owner = max(strong, key=lambda name: rendezvous_hash(key, name))
         self._owners[zone, key] = owner
         return owner
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -106,14 +106,14 @@
 
     async def refresh(self) -> None:
         """Read the configuration's head and the zone's lease."""
-        keys = (table_keys.CONFIGURATION_HEAD, table_keys.zone_lease(self.view.zone))
+        keys = (table_keys.CONFIGURATION_HEAD_KEY, table_keys.zone_lease_key(self.view.zone))
         asked_at = clock.now()
         outcome = await self.table.read(keys)
         if isinstance(outcome, Unanswered):
             await self._confirm_with_peer()
             return
         head, lease = outcome.rows
-        self.view.adoption.confirm(head_version(head), asked_at)
+        self.view.adoption.record_confirmed_version(head_version(head), asked_at)
         if lease.value is not None:
             self.view.lease = msgspec.json.decode(lease.value, type=LeaseRow)
         await self.fetch_wanted_configuration(None)
@@ -128,7 +128,7 @@
 
     async def fetch_wanted_configuration(self, reporter: Address | None) -> None:
         """Fetch and adopt a newer configuration from the table, or from peers if that fails."""
-        version = self.view.adoption.wanted_version
+        version = self.view.adoption.version_to_fetch
         if version is None or self._fetching:
             return
         self._fetching = True
@@ -138,13 +138,13 @@
             self._fetching = False
         if configuration is None:
             return
-        if self.view.adoption.adopt(configuration, clock.now()):
+        if self.view.adoption.adopt_if_newer(configuration, clock.now()):
             self._log.info("Configuration adopted.", version=configuration.version)
 
     async def _fetch_configuration(
         self, version: int, reporter: Address | None
     ) -> Configuration | None:
-        outcome = await self.table.read((table_keys.configuration_document(version),))
+        outcome = await self.table.read((table_keys.configuration_document_key(version),))
         if not isinstance(outcome, Unanswered) and outcome.rows[0].value is not None:
             return decode_configuration(outcome.rows[0].value.encode())
         for address in self._peer_addresses(reporter):
@@ -176,7 +176,7 @@
         self._reported_holder = reply.holder_address or self._reported_holder
         if reply.holder:
             self._interval = reply.interval_seconds
-        self.view.adoption.confirm(reply.configuration_version, asked_at)
+        self.view.adoption.record_confirmed_version(reply.configuration_version, asked_at)
         await self.fetch_wanted_configuration(address)
         return True
 
@@ -190,7 +190,7 @@
         if digest.zone == self.view.zone and self.view.apply_digest(digest, clock.now()):
             self.on_digest(digest)
             self._spawn(self._relay.forward_digest(digest))
-        if self.view.adoption.wanted_version is not None:
+        if self.view.adoption.version_to_fetch is not None:
             self._spawn(self.fetch_wanted_configuration(None))
         return DigestReply(
             self.view.tables.directory_hash,
--- a/src/corkcrank/machines/member_view.py
+++ b/src/corkcrank/machines/member_view.py
@@ -29,7 +29,7 @@
 
     def apply_digest(self, digest: ZoneDigest, now: float) -> bool:
         """Apply a digest unless it is older than the known one; return whether it was applied."""
-        self.adoption.announce(digest.configuration_version)
+        self.adoption.record_announced_version(digest.configuration_version)
         if self.digest is not None and digest.order_key < self.digest.order_key:
             return False
         self._apply_tables(digest)
--- a/src/corkcrank/machines/routing.py
+++ b/src/corkcrank/machines/routing.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from corkcrank.contracts.identifiers import WorkerId
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.contracts.settings import Routing
 
 PREFIX_BYTES = 256
@@ -98,7 +98,7 @@
         """Return the preferred candidate, or the better of two if its load is above the bound."""
         if not affinity:
             return self._fallback.choose(candidates, affinity)
-        preferred = max(candidates, key=lambda item: rendezvous_weight(affinity, item.worker))
+        preferred = max(candidates, key=lambda item: rendezvous_hash(affinity, item.worker))
         mean = sum(item.pressure for item in candidates) / len(candidates)
         allowance = 1.0 / max(1, preferred.slots)
         if preferred.pressure <= mean * MAX_PREFERRED_LOAD_RATIO + allowance:
--- a/src/corkcrank/machines/store_followers.py
+++ b/src/corkcrank/machines/store_followers.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.machines.fleet import Fleet
 from corkcrank.machines.fleet_view import FleetView
@@ -140,5 +140,5 @@
     def _weight(self, name: str) -> int:
         weight = self._weights.get(name)
         if weight is None:
-            weight = self._weights[name] = rendezvous_weight(_ORDER_KEY, name)
+            weight = self._weights[name] = rendezvous_hash(_ORDER_KEY, name)
         return weight
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -269,7 +269,7 @@
             result_bytes=placing.size,
             urgency=self._urgency(stage),
             start_by=self._max_wait(now),
-            remaining=clock.at_least_a_moment(self.call.end_at - now),
+            remaining=clock.clamp_remaining_seconds(self.call.end_at - now),
             following=announcement.following,
             begins=announcement.begins,
             alone=self.crash_watch.is_suspected(self.call),
--- a/src/corkcrank/node/stages/stage_worker_client.py
+++ b/src/corkcrank/node/stages/stage_worker_client.py
@@ -133,5 +133,5 @@
 
 def _order_with_remaining_time(stage_item: StageItem, now: float) -> PieceOrder:
     order = stage_item.order
-    remaining = clock.at_least_a_moment(stage_item.end_at - now)
+    remaining = clock.clamp_remaining_seconds(stage_item.end_at - now)
     return PieceOrder(order.call_id, order.stage, order.piece, order.key, order.inputs, remaining)
--- a/src/corkcrank/node/streams/stream_answer.py
+++ b/src/corkcrank/node/streams/stream_answer.py
@@ -71,7 +71,7 @@
         """Write until the call's deadline, then drop a caller that accepts no bytes."""
         started = clock.now()
         try:
-            async with asyncio.timeout(clock.at_least_a_moment(self._call.end_at - started)):
+            async with asyncio.timeout(clock.clamp_remaining_seconds(self._call.end_at - started)):
                 await writing
         except TimeoutError:
             waited = clock.now() - started
--- a/src/corkcrank/node/streams/stream_relay.py
+++ b/src/corkcrank/node/streams/stream_relay.py
@@ -115,7 +115,7 @@
         started = clock.now()
         left = self._call.end_at - started
         try:
-            async with asyncio.timeout(clock.at_least_a_moment(min(left, max_wait))):
+            async with asyncio.timeout(clock.clamp_remaining_seconds(min(left, max_wait))):
                 return await upstream.content.readany()
         except TimeoutError:
             waited = clock.now() - started
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from corkcrank.contracts.opaque_call import PrefixPart, PromptShape
-from corkcrank.contracts.rendezvous import weighted_rendezvous
+from corkcrank.contracts.rendezvous import weighted_rendezvous_score
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.scheduling.worker_choice import WorkerStatistics, WorkerStatisticsTable
 
@@ -131,7 +131,7 @@
                 engine, kept, question, worker_statistics.get_or_create(engine.worker_id), now
             )
             weight = question.weights.get(engine.worker_id, 1.0)
-            return int(cost / COST_TIE_TOKENS), -weighted_rendezvous(
+            return int(cost / COST_TIE_TOKENS), -weighted_rendezvous_score(
                 affinity, engine.worker_id, weight
             )
 
--- a/src/corkcrank/scheduling/prefill_isolation.py
+++ b/src/corkcrank/scheduling/prefill_isolation.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.contracts.worker_records import WorkerRecord
 
 SAMPLE_WEIGHT = 0.05
@@ -63,7 +63,7 @@
         by_zone.setdefault(engine.zone, []).append(engine)
     chosen: set[str] = set()
     for zone, members in by_zone.items():
-        ordered = sorted(members, key=lambda item: rendezvous_weight(zone, item.worker_id))
+        ordered = sorted(members, key=lambda item: rendezvous_hash(zone, item.worker_id))
         chosen.update(item.worker_id for item in ordered[: (len(ordered) + 1) // 2])
     if len(chosen) == len(engines):
         return frozenset()
--- a/src/corkcrank/scheduling/rate_limits.py
+++ b/src/corkcrank/scheduling/rate_limits.py
@@ -18,7 +18,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 
 DEFAULT_WINDOW_SECONDS = 1.0
 """Window of a warming worker's rate, and of bursts at a worker that states a rate, in seconds."""
@@ -129,7 +129,7 @@
 
     def _position(self, worker_id: str, rate: float, members: int, now: float) -> tuple[float, int]:
         """Return the position in a round of ``members`` slots, and the number of the round."""
-        phase = rendezvous_weight(self._local_name, worker_id) % _PHASES / _PHASES
+        phase = rendezvous_hash(self._local_name, worker_id) % _PHASES / _PHASES
         rounds = now * LOCAL_SLOT_SHARE * rate / members + phase
         round_number = int(rounds)
         return (rounds - round_number) * members, round_number
--- a/src/corkcrank/zones/poll_shares.py
+++ b/src/corkcrank/zones/poll_shares.py
@@ -9,7 +9,7 @@
 
 from corkcrank.contracts.identifiers import MemberId
 from corkcrank.contracts.messages import WorkerEntry
-from corkcrank.contracts.rendezvous import rendezvous_weight
+from corkcrank.contracts.rendezvous import rendezvous_hash
 from corkcrank.zones.digest import MemberEntry
 
 
@@ -42,5 +42,5 @@
     return tuple(
         worker
         for worker in workers
-        if max(ordered, key=lambda name: rendezvous_weight(worker.worker, name)) == member
+        if max(ordered, key=lambda name: rendezvous_hash(worker.worker, name)) == member
     )
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -5,7 +5,7 @@
 
 from corkcrank.contracts.claims import (
     CallAnswered,
-    CallBroken,
+    CallInterrupted,
     CallNotSent,
     ClaimEvent,
     ClaimInstruction,
@@ -75,7 +75,7 @@
     def start_request(self, key: str, body: str, patience: float) -> None:
         self.started += 1
         process = self.process_type(AttemptId(f"t{self.started}"), body, self.now + patience)
-        pending = process.handle(ClaimStarted(), self.now)
+        pending = process.handle_event(ClaimStarted(), self.now)
         self.requests.append(Request(key, body, process, pending))
 
     def step_request(self, request: Request, fate: str, call: str) -> None:
@@ -86,7 +86,7 @@
 
     def reach_deadline(self, request: Request) -> None:
         self.now = max(self.now, request.process.deadline)
-        for instruction in request.process.handle(DeadlineReached(), self.now):
+        for instruction in request.process.handle_event(DeadlineReached(), self.now):
             assert isinstance(instruction, Reply)
             self._reply(request, instruction)
 
@@ -132,10 +132,10 @@
         if fate == "not sent":
             return CallNotSent()
         if fate == "never arrives":
-            return CallBroken()
+            return CallInterrupted()
         self.runs[request.key] += 1
         self.run_bodies[request.key].add(request.body)
-        return CallAnswered(f"ran {request.body}") if fate == "answered" else CallBroken()
+        return CallAnswered(f"ran {request.body}") if fate == "answered" else CallInterrupted()
 
     def _record(self, request: Request, fate: str) -> None:
         row = request.records[0]
@@ -148,7 +148,7 @@
             request.records.pop(0)
 
     def _handle_event(self, request: Request, event: ClaimEvent) -> None:
-        request.pending += request.process.handle(event, self.now)
+        request.pending += request.process.handle_event(event, self.now)
 
     def _reply(self, request: Request, reply: Reply) -> None:
         assert request.reply is None, "a request got a second final answer"
--- a/tests/core/test_claims_model.py
+++ b/tests/core/test_claims_model.py
@@ -51,7 +51,7 @@
 class Resending(ClaimProcess):
     """Deliberate fault: sends the call again after an interruption."""
 
-    def _on_call_broken(self) -> list[ClaimInstruction]:
+    def _on_call_interrupted(self) -> list[ClaimInstruction]:
         return [SendCall()] if not self.replied else []
 
 
@@ -161,9 +161,9 @@
 
 def test_released_claim_can_be_claimed_again() -> None:
     process = ClaimProcess(AttemptId("second"), "body", deadline=10.0)
-    process.handle(ClaimStarted(), 0.0)
+    process.handle_event(ClaimStarted(), 0.0)
     released = ClaimRow(AttemptId("first"), "body", ClaimRowState.RELEASED)
-    instructions = process.handle(RowSeen(released, revision=4), 0.1)
+    instructions = process.handle_event(RowSeen(released, revision=4), 0.1)
     assert instructions == [
         InsertClaim(ClaimRow(AttemptId("second"), "body", ClaimRowState.CLAIMED), 4)
     ]
--- a/tests/core/test_configuration_adoption.py
+++ b/tests/core/test_configuration_adoption.py
@@ -58,16 +58,16 @@
         # The process reads the response only now; it may have been frozen since the request.
         asked_at = max(0.0, self.now - age)
         known = max(v for v, at in self.committed_at.items() if at <= asked_at)
-        self.daemons[number].confirm(known, asked_at)
+        self.daemons[number].record_confirmed_version(known, asked_at)
 
     @rule(number=st.integers(0, DAEMONS - 1), version=st.integers(1, 50))
     def receive_announcement(self, number: int, version: int) -> None:
-        self.daemons[number].announce(min(version, self.committed))
+        self.daemons[number].record_announced_version(min(version, self.committed))
 
     @rule(number=st.integers(0, DAEMONS - 1), version=st.integers(1, 50))
     def fetch_configuration(self, number: int, version: int) -> None:
         configuration = Configuration(version=min(version, self.committed))
-        self.daemons[number].adopt(configuration, self.now)
+        self.daemons[number].adopt_if_newer(configuration, self.now)
 
     @invariant()
     def versions_never_revert(self) -> None:
@@ -163,10 +163,10 @@
     asyncio.run(race())
     versions = [version for _, version in confirmed]
     assert len(set(versions)) == len(versions), "two confirmations have the same version"
-    head = table.row(table_keys.CONFIGURATION_HEAD)
+    head = table.row(table_keys.CONFIGURATION_HEAD_KEY)
     assert head.value is None or int(head.value) == max(versions, default=0)
     for name, version in confirmed:
-        document = table.row(table_keys.configuration_document(version)).value
+        document = table.row(table_keys.configuration_document_key(version)).value
         assert document is not None
         assert name in decode_configuration(document.encode()).drained_workers
 
