--- a/src/corkcrank/contracts/node_settings.py
+++ b/src/corkcrank/contracts/node_settings.py
@@ -74,7 +74,7 @@
     retry_allowance: float = 50.0
 
     @property
-    def shortest(self) -> float:
+    def min_reaction_seconds(self) -> float:
         """Return the shortest time within which a change in the store must take effect."""
         return min(self.leaving, self.configuration, self.evacuation)
 
@@ -93,7 +93,7 @@
     cpu_speed: float = 1.0
 
     @property
-    def strength(self) -> float:
+    def processor_capacity(self) -> float:
         """Return the processor capacity of the process, in standard processors; 0 if unknown.
 
         >>> NodeLimitSettings(cpu_share=0.5, cpu_speed=3.0).strength, NodeLimitSettings().strength
--- a/src/corkcrank/contracts/opaque_call.py
+++ b/src/corkcrank/contracts/opaque_call.py
@@ -31,7 +31,7 @@
         return self.parts[:-1]
 
     @cached_property
-    def whole_tokens(self) -> int:
+    def total_tokens(self) -> int:
         """Return the tokens of the prompt: the stated number or the sum of its parts, if larger."""
         return max(self.tokens_in, sum(part.tokens for part in self.parts))
 
--- a/src/corkcrank/contracts/urgency.py
+++ b/src/corkcrank/contracts/urgency.py
@@ -23,12 +23,12 @@
     rank: Rank
     due: float
 
-    def on_clock(self, now: float) -> "Urgency":
+    def to_local_clock(self, now: float) -> "Urgency":
         """Convert an urgency in seconds from now to the local clock."""
         return Urgency(self.rank, now + self.due)
 
 
-def begun_rank(rank: Rank) -> Rank:
+def downstream_rank(rank: Rank) -> Rank:
     """Return the rank of a call at a stage that reads results of an earlier stage.
 
     Only admitted calls reach such a stage, and their finished work is wasted if other calls
@@ -41,7 +41,7 @@
     return rank[0], 0
 
 
-def begun_urgency(urgency: Urgency) -> Urgency:
+def downstream_urgency(urgency: Urgency) -> Urgency:
     """Return the urgency of a call at a stage that reads results of an earlier stage.
 
     >>> begun_urgency(Urgency((1, 0), 2.0)) < begun_urgency(Urgency((1, 2), 1.9))
@@ -50,4 +50,4 @@
     True
     """
     later = ROUTE_RANK_DELAY_SECONDS * urgency.rank[1]
-    return Urgency(begun_rank(urgency.rank), urgency.due + later)
+    return Urgency(downstream_rank(urgency.rank), urgency.due + later)
--- a/src/corkcrank/contracts/worker_records.py
+++ b/src/corkcrank/contracts/worker_records.py
@@ -89,7 +89,7 @@
         self._row_revisions = {key: record.revision for key, record in listed.items()} | newer
         self._by_id = {record.worker_id: record for record in self._records.values()}
         self.revision = max(self.revision, revision)
-        self.forget_changes_before(revision)
+        self.discard_changes_before(revision)
         self._indexed = False
 
     def apply_row(self, name: str, record: WorkerRecord | None, revision: int) -> bool:
@@ -110,7 +110,7 @@
         self._indexed = False
         return True
 
-    def forget_changes_before(self, revision: int) -> None:
+    def discard_changes_before(self, revision: int) -> None:
         """Record that a full list was read: it does not show which rows were removed before."""
         self._changes_known_from = revision
 
@@ -127,7 +127,7 @@
             if changed_at > revision
         ]
 
-    def whole_up_to(self, revision: int) -> None:
+    def mark_complete_up_to(self, revision: int) -> None:
         """Record that every change up to ``revision`` was applied."""
         self.revision = max(self.revision, revision)
 
@@ -135,31 +135,31 @@
         """Return the incarnation with this id, ``None`` if it is not listed any more."""
         return self._by_id.get(worker_id)
 
-    def named(self, name: str) -> WorkerRecord | None:
+    def get_by_name(self, name: str) -> WorkerRecord | None:
         """Return the incarnation listed under a name, ``None`` if there is none."""
         return self._records.get(name)
 
-    def replaced(self, record: WorkerRecord) -> bool:
+    def is_replaced(self, record: WorkerRecord) -> bool:
         """Return whether another incarnation of the worker is listed: this one has exited."""
         listed = self._records.get(record.name)
         return listed is not None and listed.worker_id != record.worker_id
 
-    def of_service(self, service: str) -> tuple[WorkerRecord, ...]:
+    def for_service(self, service: str) -> tuple[WorkerRecord, ...]:
         """Return the listed workers of a service, including leaving ones."""
         if not self._indexed:
             self._reindex()
         return self._by_service.get(service, ())
 
-    def usable(self, service: str) -> tuple[WorkerRecord, ...]:
+    def usable_workers(self, service: str) -> tuple[WorkerRecord, ...]:
         """Return the workers that may receive new work; the same object until one changes."""
         return self._usable_records(service, None)
 
-    def usable_in(self, service: str, zone: str) -> tuple[WorkerRecord, ...]:
+    def usable_in_zone(self, service: str, zone: str) -> tuple[WorkerRecord, ...]:
         """Return the usable workers in a zone; the same object until a worker changes."""
         return self._usable_records(service, zone)
 
     def _usable_records(self, service: str, zone: str | None) -> tuple[WorkerRecord, ...]:
-        records = self.of_service(service)
+        records = self.for_service(service)
         usable = self._usable.get((service, zone))
         if usable is None:
             usable = self._usable[service, zone] = tuple(
--- a/src/corkcrank/contracts/zone_evacuations.py
+++ b/src/corkcrank/contracts/zone_evacuations.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-MOST_ZONES = 64
+MAX_ZONES = 64
 """Maximum number of stored zone states; the evacuations that ended first are removed first."""
 
 
@@ -37,7 +37,7 @@
         self._read_revision = 0
         self.evacuated: frozenset[str] = frozenset()
 
-    def take(self, states: Iterable[ZoneState]) -> tuple[ZoneState, ...]:
+    def apply_states(self, states: Iterable[ZoneState]) -> tuple[ZoneState, ...]:
         """Apply states in any order; return those that changed whether a zone is evacuated.
 
         A state as old as the last full read is ignored: either that read included it, or the
@@ -66,7 +66,7 @@
         self._update_evacuated()
         return tuple(changed)
 
-    def told(self) -> tuple[ZoneState, ...]:
+    def states_to_report(self) -> tuple[ZoneState, ...]:
         """Return the states for heartbeats, in an order that is the same at all members."""
         return tuple(self._states[zone] for zone in sorted(self._states))
 
@@ -82,7 +82,7 @@
         return [state] if state.evacuated != was_evacuated else []
 
     def _update_evacuated(self) -> None:
-        while len(self._states) > MOST_ZONES:
+        while len(self._states) > MAX_ZONES:
             oldest = min(self._states.values(), key=lambda state: (state.evacuated, state.revision))
             del self._states[oldest.zone]
         self.evacuated = frozenset(state.zone for state in self._states.values() if state.evacuated)
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -177,14 +177,14 @@
         if whole:
             changed = self.evacuations.replace_all(states, answer.revision)
         else:
-            changed = self.evacuations.take(states)
+            changed = self.evacuations.apply_states(states)
         if changed:
             self._apply_zone_changes(changed, "store")
             self.on_store_change()
 
     def apply_zone_states(self, states: tuple[ZoneState, ...], source: str) -> bool:
         """Apply zone states reported by a peer; return whether any state changed."""
-        changed = self.evacuations.take(states)
+        changed = self.evacuations.apply_states(states)
         if changed:
             self._apply_zone_changes(changed, source)
         return bool(changed)
@@ -235,8 +235,8 @@
         since = revision if whole else self.workers.revision
         self._apply_store_changes(WorkerChangeBatch(since, revision, tuple(applied)), now)
         if whole:
-            self.workers.whole_up_to(revision)
-            self.workers.forget_changes_before(answer.revision)
+            self.workers.mark_complete_up_to(revision)
+            self.workers.discard_changes_before(answer.revision)
             self._log_worker_list("store")
 
     def _apply_store_changes(self, batch: WorkerChangeBatch, now: float) -> None:
@@ -250,7 +250,7 @@
 
         An entry that exists but names no worker has not lapsed: some writer replaced it.
         """
-        known = self.workers.named(change.name)
+        known = self.workers.get_by_name(change.name)
         if change.record is None and (known is None or known.leaving):
             return False
         if change.name in self.entry_reader.unreadable:
@@ -296,7 +296,7 @@
             if self.workers.apply_row(change.name, change.record, change.revision)
         ]
         if self.workers_known and self.workers.revision >= batch.since:
-            self.workers.whole_up_to(self._lapsed.complete_up_to(batch.revision))
+            self.workers.mark_complete_up_to(self._lapsed.complete_up_to(batch.revision))
         now = clock.now()
         for change in applied:
             if change.record is not None:
--- a/src/corkcrank/machines/worker_pools.py
+++ b/src/corkcrank/machines/worker_pools.py
@@ -28,7 +28,7 @@
     Pools do not span zones. That would serve a few more calls, but three to six times the bytes
     of results would cross zones.
     """
-    same_zone = table.usable_in(worker.service, worker.zone)
+    same_zone = table.usable_in_zone(worker.service, worker.zone)
     if len(same_zone) <= MAX_POOL_WORKERS and worker in same_zone:
         return WorkerPool(worker.zone, worker.service, same_zone)
     return WorkerPool(worker.zone, worker.worker_id, (worker,))
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -94,7 +94,7 @@
     async def _choose_worker(self, now: float) -> WorkerRecord | None:
         """Return the worker to try next; a rate-limited one only if its owner grants the call."""
         self._limit_wait = None
-        usable = self._services.mirror.workers.usable(self._call.service)
+        usable = self._services.mirror.workers.usable_workers(self._call.service)
         limited = self._services.limits.limited(usable, now)
         ranked = self._rank(usable, limited, now)
         if not ranked or ranked[0] not in limited:
@@ -181,7 +181,7 @@
         return (
             call.route.kind is CallKind.REPEATABLE
             and attempts < call.route.maximum_attempts
-            and len(self._services.mirror.workers.usable(call.service)) > attempts
+            and len(self._services.mirror.workers.usable_workers(call.service)) > attempts
         )
 
     def _final_refusal(self) -> web.StreamResponse | Refusal:
--- a/src/corkcrank/node/engines/engine_owner.py
+++ b/src/corkcrank/node/engines/engine_owner.py
@@ -69,7 +69,7 @@
         configuration = self._mirror.configuration
         profile = self._mirror.profile(request.service)
         capacity = profile.engine.cache_tokens if profile and profile.engine else 0
-        engines = self._mirror.workers.usable_in(request.service, request.zone)
+        engines = self._mirror.workers.usable_in_zone(request.service, request.zone)
         question = EngineQuestion(
             prompt=request.prompt,
             excluded=request.excluded,
@@ -145,7 +145,7 @@
         """
         now = clock.now()
         limited = self._limits.limited(
-            self._mirror.workers.usable_in(call.service, chosen.zone), now
+            self._mirror.workers.usable_in_zone(call.service, chosen.zone), now
         )
         request = PrefillRequest(
             call_id=call.call_id,
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -214,7 +214,7 @@
             trials=self._crash_watch.quarantine.trial_reports(
                 now, self._fleet.heartbeat_interval()
             ),
-            zone_states=self._mirror.evacuations.told(),
+            zone_states=self._mirror.evacuations.states_to_report(),
             limits=self._statements.limits.reports_for_peers(now),
             crashes=self._crash_watch.quarantine.crash_reports(
                 now, self._fleet.heartbeat_interval()
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -68,9 +68,9 @@
         self._log = log
         self.life = ProcessLife()
         self.fleet = Fleet(
-            process.name, process.zone, process.peer_address, settings.limits.strength
+            process.name, process.zone, process.peer_address, settings.limits.processor_capacity
         )
-        self._election = StoreFollowerElection(self.fleet, settings.bounds.shortest)
+        self._election = StoreFollowerElection(self.fleet, settings.bounds.min_reaction_seconds)
         self.mirror = StoreMirror(ports.store, ports.documents, log, random_source, self._election)
         self.mirror.on_change = self._on_mirror_change
         self._capacity_log = CapacityLog(self.mirror, log)
@@ -202,7 +202,7 @@
     def take_settings(self, settings: NodeSettings) -> None:
         """Apply the bounds and limits of a changed settings file."""
         self._settings = settings
-        self._election.shortest_bound = settings.bounds.shortest
+        self._election.shortest_bound = settings.bounds.min_reaction_seconds
         self.services.apply_bounds(settings.bounds)
         self.listener_state.connection_limit = connection_limit(settings.limits)
 
--- a/src/corkcrank/node/process/node_process.py
+++ b/src/corkcrank/node/process/node_process.py
@@ -15,7 +15,7 @@
 from corkcrank.links.decision_log import BoundedOutput, DecisionLog
 from corkcrank.node.process.node import Node
 from corkcrank.node.process.settings_watcher import SettingsWatcher
-from corkcrank.platform.ports import SETTINGS_VARIABLE, connect
+from corkcrank.platform.ports import SETTINGS_VARIABLE, connect_platform
 
 EXIT_SETTINGS = 3
 """Exit status of a gateway whose settings file is missing or invalid."""
@@ -42,7 +42,7 @@
     loop = asyncio.get_running_loop()
     signalled = _watch_signals(loop)
     async with aiohttp.ClientSession() as session:
-        ports = connect(session, settings.store.address, settings.store.timeout)
+        ports = connect_platform(session, settings.store.address, settings.store.timeout)
         node = Node(settings, ports, log, random.Random())
         watcher = SettingsWatcher(path, settings, log, node.take_settings)
         loop.add_signal_handler(signal.SIGHUP, watcher.look)
--- a/src/corkcrank/node/stages/downstream_backlog.py
+++ b/src/corkcrank/node/stages/downstream_backlog.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from corkcrank.contracts.urgency import begun_rank
+from corkcrank.contracts.urgency import downstream_rank
 from corkcrank.machines.owner_use import OwnerUse
 from corkcrank.node.peers.peer_protocol import StageWork
 from corkcrank.scheduling.stage_backlog import StageBacklog
@@ -25,7 +25,7 @@
     def count_following(self, work: StageWork, now: float) -> Iterator[None]:
         """Count the pieces that follow the given work until it has ended."""
         rank = work.urgency.rank
-        later_rank = begun_rank(rank)
+        later_rank = downstream_rank(rank)
         self.use.record_use(now)
         if work.begins:
             self.record_requested(work.service, rank, len(work.pieces), now)
--- a/src/corkcrank/node/stages/owned_queue.py
+++ b/src/corkcrank/node/stages/owned_queue.py
@@ -98,7 +98,7 @@
         owner knows their current state. This prevents that in bursts the most urgent route waits
         for workers that have filled up since the report (test_fleet_play.py).
         """
-        urgency = work.urgency.on_clock(now)
+        urgency = work.urgency.to_local_clock(now)
         choices = []
         for other in pool_for_worker(self._mirror.workers, worker).workers:
             statistics = self._worker_statistics.get_or_create(other.worker_id)
--- a/src/corkcrank/node/stages/stage_dispatch.py
+++ b/src/corkcrank/node/stages/stage_dispatch.py
@@ -81,7 +81,7 @@
         queue = self._stage_owner.get_queue(worker.worker_id)
         owner = self.owner_of(worker, now)
         if owner == self._fleet.local_name and queue is not None:
-            return queue.forecast(now, urgency.on_clock(now), pieces, size)
+            return queue.forecast(now, urgency.to_local_clock(now), pieces, size)
         return self._forecast_from_report(worker, owner, urgency, pieces, size)
 
     def _forecast_from_report(
@@ -118,7 +118,7 @@
     ) -> tuple[WorkerRecord, QueueForecast] | None:
         """Return the best worker for the pieces of a placing, with its forecast."""
         return choose_stage_worker(
-            self._mirror.workers.usable(placing.service),
+            self._mirror.workers.usable_workers(placing.service),
             lambda worker: self.forecast(worker, placing.urgency, placing.pieces, placing.size),
             placing,
             self._worker_statistics,
@@ -138,7 +138,7 @@
         capacity = self.service_capacity(service)
         waits = [
             self.forecast(worker, urgency, pieces, size).start
-            for worker in self._mirror.workers.usable_in(service, zone)
+            for worker in self._mirror.workers.usable_in_zone(service, zone)
         ]
         return min(waits, default=capacity.full_call_seconds if capacity is not None else 0.0)
 
@@ -169,7 +169,7 @@
     def _service_rate(self, service: str) -> float:
         """Return the pieces per second that a service's workers complete with full batches."""
         capacity = self.service_capacity(service)
-        workers = len(self._mirror.workers.usable(service))
+        workers = len(self._mirror.workers.usable_workers(service))
         if capacity is None or not workers:
             return 0.0
         return workers * capacity.pieces_a_second
--- a/src/corkcrank/node/stages/stage_messages.py
+++ b/src/corkcrank/node/stages/stage_messages.py
@@ -44,7 +44,7 @@
     return StageItem(
         order=order,
         result_bytes=work.result_bytes,
-        urgency=work.urgency.on_clock(now),
+        urgency=work.urgency.to_local_clock(now),
         start_by=now + work.start_by,
         end_at=now + work.remaining,
         submitted_at=now,
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -156,7 +156,7 @@
             entry.room.evacuated = entry.worker.zone in self._mirror.workers.evacuated
             if worker is not None and self._mirror.workers.accepts_work(worker):
                 continue
-            entry.room.restarted = self._mirror.workers.replaced(entry.worker)
+            entry.room.restarted = self._mirror.workers.is_replaced(entry.worker)
             self._refuse_queued(entry)
             if worker is None and entry.queue.at_work == 0:
                 self._queues.remove(entry)
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -86,8 +86,8 @@
         """Return the engines that the call may be sent to, the best first."""
         call, services = self._call, self._services
         workers = services.mirror.workers
-        engines = workers.usable(call.service)
-        stages = [workers.usable(stage.service) for stage in call.route.stages]
+        engines = workers.usable_workers(call.service)
+        stages = [workers.usable_workers(stage.service) for stage in call.route.stages]
         long = services.prompt_sizes.has_long_prompts(call.route.name)
         penalties = services.isolation.penalties(engines, long=long)
         limited = services.limits.limited(engines, clock.now())
--- a/src/corkcrank/node/telemetry/capacity_log.py
+++ b/src/corkcrank/node/telemetry/capacity_log.py
@@ -18,7 +18,7 @@
         if configuration is None or not self._mirror.workers_known:
             return
         for profile in configuration.services:
-            workers = self._mirror.workers.usable(profile.name)
+            workers = self._mirror.workers.usable_workers(profile.name)
             before = self._logged_counts.get(profile.name)
             if before == len(workers):
                 continue
--- a/src/corkcrank/node/workers/worker_health.py
+++ b/src/corkcrank/node/workers/worker_health.py
@@ -93,7 +93,7 @@
             evaluated_before = services
 
     def _evaluate_service(self, service: str, now: float) -> None:
-        workers = self._mirror.workers.usable(service)
+        workers = self._mirror.workers.usable_workers(service)
         changes = self._detector.update_verdicts(workers, now)
         for worker in workers:
             self._worker_statistics.get_or_create(worker.worker_id).excess = self._detector.excess(
--- a/src/corkcrank/platform/ports.py
+++ b/src/corkcrank/platform/ports.py
@@ -14,7 +14,7 @@
 """Environment variable that holds the path of the settings file."""
 
 
-def connect(session: aiohttp.ClientSession, address: str, timeout: float) -> PlatformPorts:
+def connect_platform(session: aiohttp.ClientSession, address: str, timeout: float) -> PlatformPorts:
     """Return the adapters for the platform whose store is at ``address``.
 
     ``timeout`` is that of one store call, in seconds.
--- a/src/corkcrank/platform/strict_json.py
+++ b/src/corkcrank/platform/strict_json.py
@@ -6,7 +6,7 @@
 
 from corkcrank.links.platform_ports import Unreadable
 
-LONGEST_REASON = 160
+MAX_REASON_CHARACTERS = 160
 """Maximum length of a reason in characters; it may quote field names from the document."""
 
 _Document = TypeVar("_Document")
@@ -30,4 +30,4 @@
 
 def unreadable_because(reason: str) -> Unreadable:
     """Return an ``Unreadable`` with its reason truncated."""
-    return Unreadable(reason[:LONGEST_REASON])
+    return Unreadable(reason[:MAX_REASON_CHARACTERS])
--- a/src/corkcrank/platform/worker_entries.py
+++ b/src/corkcrank/platform/worker_entries.py
@@ -25,7 +25,7 @@
 
 MAX_PORT = 65_535
 
-MOST_WARMUP_SECONDS = 60.0
+MAX_WARMUP_SECONDS = 60.0
 """Upper limit for a stated warm-up; a longer one would keep a worker from its share of work."""
 
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
@@ -69,7 +69,7 @@
         leaving=entry.state is _State.DRAINING,
         revision=row.revision,
         born=None if entry.born is msgspec.UNSET else entry.born,
-        warmup=min(MOST_WARMUP_SECONDS, max(0.0, entry.warmup_left_ms / MILLISECONDS_PER_SECOND)),
+        warmup=min(MAX_WARMUP_SECONDS, max(0.0, entry.warmup_left_ms / MILLISECONDS_PER_SECOND)),
     )
 
 
--- a/src/corkcrank/scheduling/engine_choice.py
+++ b/src/corkcrank/scheduling/engine_choice.py
@@ -141,7 +141,7 @@
         """Return the number of tokens of a prompt that an engine probably has not cached."""
         cache = self._prefix_caches.get(worker_id)
         kept = cache.cached_tokens(prompt.shared_parts) if cache is not None else 0
-        return max(0, prompt.whole_tokens - kept)
+        return max(0, prompt.total_tokens - kept)
 
     def record_sent(
         self, worker_id: str, capacity: int, parts: Iterable[PrefixPart], now: float
--- a/tests/core/test_zone_evacuations.py
+++ b/tests/core/test_zone_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from corkcrank.contracts.zone_evacuations import MOST_ZONES, ZoneEvacuations, ZoneState
+from corkcrank.contracts.zone_evacuations import MAX_ZONES, ZoneEvacuations, ZoneState
 
 ZONES = ("a", "b", "c")
 
@@ -35,7 +35,7 @@
     randomness.shuffle(shuffled)  # type: ignore[attr-defined]
     known = ZoneEvacuations()
     for state in shuffled:
-        known.take([state])
+        known.apply_states([state])
     assert known.evacuated == in_force(states)
 
 
@@ -49,28 +49,30 @@
     known = ZoneEvacuations()
     known.replace_all([state for state in rows.values() if state.evacuated], read_at)
     for state in data.draw(st.permutations(states)):
-        known.take([state])
+        known.apply_states([state])
     assert known.evacuated == in_force(states)
 
 
 def test_the_evacuation_of_a_zone_missing_from_a_full_read_ends() -> None:
     known = ZoneEvacuations()
-    known.take([ZoneState("a", 5, True)])
+    known.apply_states([ZoneState("a", 5, True)])
     assert known.replace_all([], 9) == (ZoneState("a", 9, False),)
-    assert not known.take([ZoneState("a", 5, True)])
+    assert not known.apply_states([ZoneState("a", 5, True)])
     assert not known.evacuated
 
 
 def test_a_full_read_older_than_an_evacuation_does_not_end_it() -> None:
     known = ZoneEvacuations()
-    known.take([ZoneState("a", 12, True)])
+    known.apply_states([ZoneState("a", 12, True)])
     known.replace_all([], 9)
     assert known.evacuated == {"a"}
 
 
 def test_the_number_of_zones_is_bounded_and_evacuated_ones_are_removed_last() -> None:
     known = ZoneEvacuations()
-    known.take([ZoneState("kept", 1, True)])
-    known.take([ZoneState(f"z{number}", number + 2, False) for number in range(2 * MOST_ZONES)])
-    assert len(known.told()) == MOST_ZONES
+    known.apply_states([ZoneState("kept", 1, True)])
+    known.apply_states(
+        [ZoneState(f"z{number}", number + 2, False) for number in range(2 * MAX_ZONES)]
+    )
+    assert len(known.states_to_report()) == MAX_ZONES
     assert known.evacuated == {"kept"}
--- a/tests/platform/node_world.py
+++ b/tests/platform/node_world.py
@@ -25,7 +25,7 @@
 from corkcrank.links.decision_log import DecisionLog
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.process.node import Node
-from corkcrank.platform.ports import connect
+from corkcrank.platform.ports import connect_platform
 
 HOST = "calls.example"
 KEY = "key-of-tenant"
@@ -220,7 +220,7 @@
         running.store.refused.add(ip)
     connector = aiohttp.TCPConnector(local_addr=(ip, 0))
     async with aiohttp.ClientSession(connector=connector) as session:
-        ports = connect(session, settings.store.address, settings.store.timeout)
+        ports = connect_platform(session, settings.store.address, settings.store.timeout)
         node = Node(settings, ports, DecisionLog(None, ip), random.Random(8))
         running.nodes.append(node)
         if link is not None:
@@ -265,7 +265,7 @@
         aiohttp.ClientSession(connector=connector) as platform,
         aiohttp.ClientSession(connector=callers_connector()) as callers,
     ):
-        ports = connect(platform, settings.store.address, settings.store.timeout)
+        ports = connect_platform(platform, settings.store.address, settings.store.timeout)
         node = Node(settings, ports, DecisionLog(None, "test"), random.Random(7))
         running = World(store, [node], callers)
         if links.peers is not None:
--- a/tests/platform/test_capacity_log.py
+++ b/tests/platform/test_capacity_log.py
@@ -27,7 +27,7 @@
         node = running.nodes[0]
         with logged(running, tmp_path) as path:
             running.store.put("servers", one.worker_id, one.entry("encode", state="draining"))
-            await until(lambda: len(node.mirror.workers.usable("encode")) == 1)
+            await until(lambda: len(node.mirror.workers.usable_workers("encode")) == 1)
             running.store.remove("servers", one.worker_id)
             await until(lambda: node.mirror.workers.get(one.worker_id) is None)
     (told,) = lines_of(path, "encode")
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -82,7 +82,7 @@
 
 
 def _knows_incarnation(node: Node, worker: AnyCrashingWorker) -> bool:
-    record = node.mirror.workers.named(worker.worker_id)
+    record = node.mirror.workers.get_by_name(worker.worker_id)
     return record is not None and record.born == worker.told["born"]
 
 
--- a/tests/platform/test_ended_workers.py
+++ b/tests/platform/test_ended_workers.py
@@ -79,6 +79,6 @@
         workers[0].crash_control.store, workers[0].crash_control.service = running.store, "plain"
         await crash_one_worker(running, "/safe/", workers)
         await until(lambda: workers[0].server.listening)
-        record = running.nodes[0].mirror.workers.named
+        record = running.nodes[0].mirror.workers.get_by_name
         await until(lambda: record(workers[0].worker_id).born == workers[0].told["born"])
         assert (await running.call("/safe/y")).status == 200
--- a/tests/platform/test_not_run.py
+++ b/tests/platform/test_not_run.py
@@ -47,7 +47,7 @@
         await until(lambda: bool(encode.calls))
         running.store.remove("servers", engine.worker_id)
         workers = running.nodes[0].mirror.workers
-        await until(lambda: not workers.usable("model"))
+        await until(lambda: not workers.usable_workers("model"))
         assert encode.gate is not None
         encode.gate.set()
         await call
--- a/tests/platform/test_quarantined_requests.py
+++ b/tests/platform/test_quarantined_requests.py
@@ -28,7 +28,7 @@
 from corkcrank.links.decision_log import DecisionLog
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.process.node import Node
-from corkcrank.platform.ports import connect
+from corkcrank.platform.ports import connect_platform
 
 QUARANTINED = 3012
 
@@ -129,7 +129,7 @@
         ip = loopback_address(3)
         settings = settings_for(ip, "z1", self._running.store.server.address, (), grace=0.5)
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(local_addr=(ip, 0)))
-        ports = connect(self._session, settings.store.address, settings.store.timeout)
+        ports = connect_platform(self._session, settings.store.address, settings.store.timeout)
         self._node = Node(settings, ports, DecisionLog(None, ip), random.Random(9))
         self._running.nodes.append(self._node)
         await self._node.start()
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -37,7 +37,7 @@
 
 
 def known_start(node: Node, name: str) -> int | None:
-    record = node.mirror.workers.named(name)
+    record = node.mirror.workers.get_by_name(name)
     return record.born if record is not None else None
 
 
@@ -57,7 +57,7 @@
     ):
         nodes = [running.nodes[0], second]
         running.store.put("servers", one.worker_id, one.entry("plain", state="draining"))
-        await until(lambda: not any(node.mirror.workers.usable("plain") for node in nodes))
+        await until(lambda: not any(node.mirror.workers.usable_workers("plain") for node in nodes))
         restart(running, one, "plain")
         await until(lambda: all(known_start(node, one.worker_id) == SECOND_START for node in nodes))
         for number in range(2):
@@ -70,7 +70,7 @@
     name = one.worker_id
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         node = running.nodes[0]
-        old = node.mirror.workers.named(name)
+        old = node.mirror.workers.get_by_name(name)
         assert old is not None
         one.worker_id = "i-another"
         assert (await running.call("/safe/x", method="GET")).status == 503
@@ -92,13 +92,13 @@
         services = running.nodes[0].services
         response = await running.call("/talk/x", headers=prompt)
         await response.read()
-        old = services.mirror.workers.named(engine.worker_id)
+        old = services.mirror.workers.get_by_name(engine.worker_id)
         assert old is not None
         services.worker_statistics.get_or_create(old.worker_id).failures.append(0.0)
         assert old.worker_id in services.engines._prefix_caches
         restart(running, engine, "model")
         await until(lambda: known_start(running.nodes[0], engine.worker_id) == SECOND_START)
-        new = services.mirror.workers.named(engine.worker_id)
+        new = services.mirror.workers.get_by_name(engine.worker_id)
         assert new is not None
         assert not services.worker_statistics.get_or_create(new.worker_id).failures
         assert not services.engines._prefix_caches
@@ -117,7 +117,7 @@
         node = running.nodes[0]
         call = asyncio.create_task(running.call("/forked/x", headers=FORK))
         await until(lambda: bool(rerank.calls))
-        old = node.mirror.workers.named(encode.worker_id)
+        old = node.mirror.workers.get_by_name(encode.worker_id)
         assert old is not None
         assert node.stage_owner.get_queue(old.worker_id) is not None
         restart(running, encode, "encode")
@@ -137,7 +137,7 @@
     served = {"m": (StandinWorker(events=2), "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
         node = running.nodes[0]
-        old = node.mirror.workers.named(encode.worker_id)
+        old = node.mirror.workers.get_by_name(encode.worker_id)
         assert old is not None
         calls = [asyncio.create_task(running.call("/staged/x", headers=PIECES)) for _ in range(3)]
         await until(lambda: node.stage_owner.get_queue(old.worker_id) is not None)
@@ -179,7 +179,7 @@
         response = await running.call("/staged/x", headers=PIECES)
         await response.read()
         assert encode.reports == 1
-        record = running.nodes[0].mirror.workers.named(encode.worker_id)
+        record = running.nodes[0].mirror.workers.get_by_name(encode.worker_id)
         assert record is not None
         await until(lambda: not any(entry.room.report_in_flight for entry in stage_owner._queues))
         assert applied_for == ([record.worker_id] if booked else [])
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -215,7 +215,7 @@
         links.workers["silent"].silence(**directions)
         await healthy.server.start()
         running.store.put("servers", healthy.worker_id, healthy.entry("plain"))
-        await until(lambda: len(running.nodes[0].mirror.workers.usable("plain")) == 2)
+        await until(lambda: len(running.nodes[0].mirror.workers.usable_workers("plain")) == 2)
         responses = [await running.call("/safe/x", method="GET") for _ in range(KEPT)]
         assert [response.status for response in responses] == [200] * KEPT
         assert links.workers["silent"].used_when_silent <= 1
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -12,7 +12,7 @@
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.peers.peer_protocol import WORKERS_PATH, WorkersAnswer, WorkersRequest
 from corkcrank.node.process.node import Node
-from corkcrank.platform.ports import connect
+from corkcrank.platform.ports import connect_platform
 
 ROUTES = [route("safe", "safe", "plain")]
 MORE = [*ROUTES, route("added", "safe", "plain")]
@@ -52,7 +52,7 @@
     served = {"one": (one, "plain"), "two": (two, "plain")}
     async with world(configuration(1, ROUTES), served) as running:
         running.store.put("servers", one.worker_id, one.entry("plain", state="draining"))
-        await until(lambda: len(running.nodes[0].mirror.workers.usable("plain")) == 1)
+        await until(lambda: len(running.nodes[0].mirror.workers.usable_workers("plain")) == 1)
         running.store.remove("servers", one.worker_id)
         await until(lambda: len(running.nodes[0].mirror.workers.records()) == 1)
         for _ in range(5):
@@ -82,7 +82,7 @@
         connector = aiohttp.TCPConnector(local_addr=(loopback_address(3), 0))
         async with aiohttp.ClientSession(connector=connector) as session:
             running.store.refused.add(loopback_address(3))
-            platform = connect(session, settings.store.address, settings.store.timeout)
+            platform = connect_platform(session, settings.store.address, settings.store.timeout)
             alone = Node(settings, platform, DecisionLog(None, "alone"), random.Random(9))
             await alone.start()
             try:
@@ -125,12 +125,12 @@
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         mirror = running.nodes[0].mirror
         await lapse_in_an_outage(running, one)
-        assert mirror.workers.usable("plain")
+        assert mirror.workers.usable_workers("plain")
         assert (await running.call("/safe/x", method="GET")).status == 200
         running.store.put("servers", one.worker_id, one.entry("plain"))
         revision = running.store.revision
         await until(lambda: mirror.workers.revision >= revision)
-        assert mirror.workers.usable("plain")
+        assert mirror.workers.usable_workers("plain")
 
 
 async def test_a_worker_that_does_not_register_again_after_an_outage_is_removed() -> None:
@@ -145,7 +145,7 @@
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         mirror = running.nodes[0].mirror
         running.store.put("servers", one.worker_id, one.entry("plain", state="draining"))
-        await until(lambda: not mirror.workers.usable("plain"))
+        await until(lambda: not mirror.workers.usable_workers("plain"))
         await lapse_in_an_outage(running, one)
         assert not mirror.workers.records()
 
@@ -166,8 +166,8 @@
         running.store.remove("servers", one.worker_id)
         running.store.put("servers", two.worker_id, two.entry("plain"))
         async with peer_of(running, loopback_address(2)):
-            await until(lambda: first.mirror.workers.named(one.worker_id) is None)
-        assert first.mirror.workers.named(two.worker_id) is not None
+            await until(lambda: first.mirror.workers.get_by_name(one.worker_id) is None)
+        assert first.mirror.workers.get_by_name(two.worker_id) is not None
 
 
 async def test_a_peer_reports_changes_since_a_revision_or_the_whole_list_if_they_are_unknown() -> (
--- a/tests/platform/test_store_watchers.py
+++ b/tests/platform/test_store_watchers.py
@@ -47,7 +47,9 @@
         running.store.put("op", "config", configuration(2, ROUTES))
         running.store.put("servers", worker.worker_id, worker.entry("plain", state="draining"))
         await until(lambda: all(node.mirror.version == 2 for node in running.nodes))
-        await until(lambda: not any(node.mirror.workers.usable("plain") for node in running.nodes))
+        await until(
+            lambda: not any(node.mirror.workers.usable_workers("plain") for node in running.nodes)
+        )
         assert sum(is_follower(node) for node in running.nodes) == MIN_FOLLOWERS
 
 
--- a/tests/platform/test_warming_workers.py
+++ b/tests/platform/test_warming_workers.py
@@ -11,7 +11,7 @@
 
 from corkcrank.contracts import clock
 from corkcrank.load.loopback import loopback_address
-from corkcrank.platform.worker_entries import MOST_WARMUP_SECONDS
+from corkcrank.platform.worker_entries import MAX_WARMUP_SECONDS
 
 ROUTES = [route("talk", "stream", "model"), route("safe", "safe", "plain")]
 RATE = 4.0
@@ -137,5 +137,5 @@
     served = {"negative": (negative, "plain"), "endless": (endless, "plain")}
     async with world(limited(), served) as running:
         workers = running.nodes[0].mirror.workers
-        assert workers.named(negative.worker_id).warmup == 0.0  # type: ignore[union-attr]
-        assert workers.named(endless.worker_id).warmup == MOST_WARMUP_SECONDS  # type: ignore[union-attr]
+        assert workers.get_by_name(negative.worker_id).warmup == 0.0  # type: ignore[union-attr]
+        assert workers.get_by_name(endless.worker_id).warmup == MAX_WARMUP_SECONDS  # type: ignore[union-attr]
--- a/tests/platform/test_worker_entries.py
+++ b/tests/platform/test_worker_entries.py
@@ -21,7 +21,7 @@
 from corkcrank.node.process.node import Node
 from corkcrank.platform.documents import PlatformDocumentCodec
 from corkcrank.platform.store import PlatformStore
-from corkcrank.platform.strict_json import LONGEST_REASON
+from corkcrank.platform.strict_json import MAX_REASON_CHARACTERS
 
 ROUTES = [route("safe", "safe", "plain")]
 
@@ -96,7 +96,7 @@
 def test_any_bytes_are_read_or_given_a_short_reason(data: bytes, key: str) -> None:
     found = read(data, key)
     assert isinstance(found, Unreadable)
-    assert len(found.reason) <= LONGEST_REASON
+    assert len(found.reason) <= MAX_REASON_CHARACTERS
 
 
 @given(st.dictionaries(st.sampled_from([*ENTRY, "born"]), JSON), st.text())
@@ -198,17 +198,23 @@
         peer_of(running, loopback_address(2)) as second,
     ):
         nodes = [running.nodes[0], second]
-        await until(lambda: all(len(node.mirror.workers.usable("plain")) == 2 for node in nodes))
+        await until(
+            lambda: all(len(node.mirror.workers.usable_workers("plain")) == 2 for node in nodes)
+        )
         running.store.put("servers", one.worker_id, foreign)
         running.store.put("servers", "i-unheard", foreign)
-        await until(lambda: all(len(node.mirror.workers.usable("plain")) == 1 for node in nodes))
+        await until(
+            lambda: all(len(node.mirror.workers.usable_workers("plain")) == 1 for node in nodes)
+        )
         for _ in range(5):
             assert (await running.call("/safe/x", method="GET")).status == 200
         unreadable = running.nodes[0].dump().unreadable_entries
         assert set(unreadable) == {one.worker_id, "i-unheard"}
         assert unreadable_entry_count(running.nodes[0]) == 2
         running.store.put("servers", one.worker_id, one.entry("plain"))
-        await until(lambda: all(len(node.mirror.workers.usable("plain")) == 2 for node in nodes))
+        await until(
+            lambda: all(len(node.mirror.workers.usable_workers("plain")) == 2 for node in nodes)
+        )
         assert set(running.nodes[0].dump().unreadable_entries) == {"i-unheard"}
     assert not one.seen
 
--- a/tests/platform/test_worker_health.py
+++ b/tests/platform/test_worker_health.py
@@ -110,7 +110,7 @@
     ):
         first = running.nodes[0]
         await acquainted(first, second)
-        record = first.mirror.workers.usable("model")[0]
+        record = first.mirror.workers.usable_workers("model")[0]
         record_failures(first, record, 2)
         assert verdict(first, record) is Verdict.HEALTHY
         record_failures(second, record, 2)
@@ -124,7 +124,7 @@
         node = running.nodes[0]
         lines: list[tuple[LogEvent, dict[str, Any]]] = []
         node._log.write = lambda event, **fields: lines.append((event, fields))  # type: ignore[method-assign]
-        record = node.mirror.workers.usable("model")[0]
+        record = node.mirror.workers.usable_workers("model")[0]
         record_failures(node, record, 4)
         dump = json.loads(await operators_page(running, "/dump"))
         metrics = await operators_page(running, "/metrics")
--- a/tests/scheduling/engine_play.py
+++ b/tests/scheduling/engine_play.py
@@ -155,7 +155,7 @@
         engine = self._engines[granted.worker_id]
         kept = engine.memory.cached_tokens(prompt.shared_parts)
         engine.memory.touch(prompt.shared_parts, self._now)
-        call = Call(number, kind, prompt.whole_tokens - kept, tokens_out)
+        call = Call(number, kind, prompt.total_tokens - kept, tokens_out)
         self.calls.append(call)
         self.tokens_read += call.unread
         self._schedule(
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -128,7 +128,7 @@
     def read(self, prompt: PromptShape) -> float:
         """Read a prompt; returns the seconds until its first event."""
         now = clock.now()
-        unread = prompt.whole_tokens - self._memory.cached_tokens(prompt.shared_parts)
+        unread = prompt.total_tokens - self._memory.cached_tokens(prompt.shared_parts)
         self._memory.touch(prompt.shared_parts, now)
         self._read_until = max(now, self._read_until) + unread / PROMPT_TOKENS_PER_SECOND
         return self._read_until - now + FIRST_EVENT_SECONDS
--- a/tests/scheduling/test_incarnations.py
+++ b/tests/scheduling/test_incarnations.py
@@ -53,7 +53,7 @@
             listed = truth.get(change.name)
             same = listed is not None and listed.worker_id == change.record.worker_id
             assert workers.get(change.record.worker_id) == (listed if same else None)
-    usable = {item.worker_id for item in workers.usable("s")}
+    usable = {item.worker_id for item in workers.usable_workers("s")}
     assert usable == {item.worker_id for item in truth.values() if not item.leaving}
 
 
@@ -62,14 +62,14 @@
     old = incarnation("a", 1, 5, leaving=True)
     new = incarnation("a", 2, 6, leaving=False)
     workers.apply_row("a", old, 5)
-    assert not workers.usable("s")
+    assert not workers.usable_workers("s")
     workers.apply_row("a", new, 6)
-    assert workers.usable("s") == (new,)
+    assert workers.usable_workers("s") == (new,)
     assert workers.get(old.worker_id) is None
-    assert workers.replaced(old)
-    assert not workers.replaced(new)
+    assert workers.is_replaced(old)
+    assert not workers.is_replaced(new)
     workers.apply_row("a", None, 7)
-    assert not workers.replaced(old)
+    assert not workers.is_replaced(old)
 
 
 def test_statistics_are_not_carried_over_to_the_next_incarnation() -> None:
--- a/tests/scheduling/test_list_changes.py
+++ b/tests/scheduling/test_list_changes.py
@@ -29,7 +29,7 @@
     for name, record, at in changes:
         if at > read_at:
             known.apply_row(name, record, at)
-            known.whole_up_to(at)
+            known.mark_complete_up_to(at)
     return known
 
 
--- a/tests/scheduling/test_news_epidemic.py
+++ b/tests/scheduling/test_news_epidemic.py
@@ -48,6 +48,6 @@
     workers = CountedList()
     for number in range(1, 671):
         workers.apply_row(f"w{number}", WorkerRecord(f"w{number}", "s", "", "z"), number)
-    assert len(workers.usable("s")) == 670
-    assert len(workers.usable("s")) == 670
+    assert len(workers.usable_workers("s")) == 670
+    assert len(workers.usable_workers("s")) == 670
     assert reindexed == 1
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -152,7 +152,7 @@
     workers.replace_all([record("w", 3)], 5)
     assert workers.apply_row("w", record("w", 9, leaving=True), 9)
     workers.replace_all([record("w", 3)], 8)
-    assert workers.usable("s") == ()
+    assert workers.usable_workers("s") == ()
     assert workers.apply_row("w", None, 11)
     workers.replace_all([record("w", 9, leaving=True)], 10)
     assert workers.records() == ()
