--- a/src/corkcrank/node/callers/caller_listener.py
+++ b/src/corkcrank/node/callers/caller_listener.py
@@ -17,16 +17,16 @@
 from corkcrank.links.closed_connections import socket_closed_by_peer
 from corkcrank.node.callers.listener_state import BlockCause, ListenerState
 
-BACKLOG = 1024
+ACCEPT_BACKLOG = 1024
 """Maximum number of connections waiting to be accepted."""
 
-RETRY_SECONDS = 0.05
+ACCEPT_RETRY_SECONDS = 0.05
 """Pause before a blocked accept is retried."""
 
-SPARED_SECONDS = 0.1
+MIN_WAIT_BEFORE_CLOSE_SECONDS = 0.1
 """Minimum age of a wait before a connection may be closed: its request may be in transit."""
 
-CLOSED_SHARE = 1 / 16
+CLOSED_BATCH_SHARE = 1 / 16
 """Share of the connection limit that is closed in one batch, so that searching for connections
 to close stays cheap."""
 
@@ -41,7 +41,7 @@
     """A complete request is in progress; such a connection is never closed to admit another."""
 
 
-class HeldConnection(asyncio.Protocol):
+class IncomingConnection(asyncio.Protocol):
     """The part of a connection's interface that the listener uses."""
 
     @property
@@ -50,7 +50,7 @@
         raise NotImplementedError
 
     @property
-    def waits_since(self) -> float:
+    def waiting_since(self) -> float:
         """Return when the current wait began, on the clock of :mod:`clock`."""
         raise NotImplementedError
 
@@ -62,16 +62,16 @@
 class ListenerReport(Protocol):
     """Receives the events of the listener."""
 
-    def closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
+    def record_closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
         """Record how many connections were closed to admit new ones, by phase."""
 
-    def left(self, count: int) -> None:
+    def record_disconnected(self, count: int) -> None:
         """Record how many callers had disconnected before their connection was accepted."""
 
-    def failing(self, state: ListenerState) -> None:
+    def record_blocked(self, state: ListenerState) -> None:
         """Record that accepting has been blocked for longer than the limit."""
 
-    def accepting(self, state: ListenerState) -> None:
+    def record_accepting(self, state: ListenerState) -> None:
         """Record that accepting works again; called while the state still has the block's start."""
 
 
@@ -80,14 +80,14 @@
 
     def __init__(
         self,
-        make_connection: Callable[[], HeldConnection],
+        make_connection: Callable[[], IncomingConnection],
         state: ListenerState,
         report: ListenerReport,
     ) -> None:
         self._make_connection = make_connection
         self._state = state
         self._report = report
-        self._connections: set[HeldConnection] = set()
+        self._connections: set[IncomingConnection] = set()
         self._connecting_tasks: set[asyncio.Task[None]] = set()
         self._socket: socket.socket | None = None
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -96,7 +96,7 @@
     def start(self, address: str) -> None:
         """Listen on ``ip:port``."""
         host, port = address.rsplit(":", 1)
-        self._socket = socket.create_server((host, int(port)), backlog=BACKLOG)
+        self._socket = socket.create_server((host, int(port)), backlog=ACCEPT_BACKLOG)
         self._socket.setblocking(False)
         asyncio.get_running_loop().add_reader(self._socket, self._accept)
         self._state.listening = True
@@ -112,7 +112,7 @@
         self._socket = None
         self._state.listening = False
 
-    def lost(self, connection: HeldConnection) -> None:
+    def remove_connection(self, connection: IncomingConnection) -> None:
         """Remove a connection that has been closed."""
         self._connections.discard(connection)
         self._state.open_connections = len(self._connections)
@@ -123,8 +123,8 @@
         now = clock.now()
         disconnected = 0
         cause: BlockCause | None = None
-        for _ in range(BACKLOG):
-            if not self._state.has_place and not self._close_waiting_connections(now):
+        for _ in range(ACCEPT_BACKLOG):
+            if not self._state.has_capacity and not self._close_waiting_connections(now):
                 cause = BlockCause.CONNECTIONS
                 break
             try:
@@ -145,7 +145,7 @@
             if self._state.blocked_by is BlockCause.CONNECTIONS:
                 self._record_accepting()
         if disconnected:
-            self._report.left(disconnected)
+            self._report.record_disconnected(disconnected)
         if cause is None:
             self._record_accepting()
         else:
@@ -160,13 +160,13 @@
         self._connecting_tasks.add(task)
         task.add_done_callback(self._connecting_tasks.discard)
 
-    async def _connect(self, connection: HeldConnection, accepted: socket.socket) -> None:
+    async def _connect(self, connection: IncomingConnection, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: connection, accepted)
         except OSError:
             accepted.close()
-            self.lost(connection)
+            self.remove_connection(connection)
         if connection not in self._connections:
             connection.force_close()
 
@@ -176,31 +176,31 @@
         Connections are closed by phase, and within a phase by age of their wait, oldest first.
         """
         waiting = [
-            (phase, connection.waits_since, connection)
+            (phase, connection.waiting_since, connection)
             for connection in self._connections
             if (phase := connection.phase) is not ConnectionPhase.BUSY
-            and now - connection.waits_since > SPARED_SECONDS
+            and now - connection.waiting_since > MIN_WAIT_BEFORE_CLOSE_SECONDS
         ]
         waiting.sort(key=lambda item: item[:2])
-        count = max(1, int(self._state.connection_limit * CLOSED_SHARE))
+        count = max(1, int(self._state.connection_limit * CLOSED_BATCH_SHARE))
         closed = waiting[:count]
         for _, _, connection in closed:
             connection.force_close()
-            self.lost(connection)
+            self.remove_connection(connection)
         if closed:
             phases: Counter[ConnectionPhase] = Counter(phase for phase, _, _ in closed)
-            self._report.closed(phases, len(self._connections))
+            self._report.record_closed(phases, len(self._connections))
         return bool(closed)
 
     def _pause_accepting(self, cause: BlockCause) -> None:
-        self._state.block(cause)
-        if self._state.failing and not self._failure_reported:
+        self._state.mark_blocked(cause)
+        if self._state.blocked_too_long and not self._failure_reported:
             self._failure_reported = True
-            self._report.failing(self._state)
+            self._report.record_blocked(self._state)
         assert self._socket is not None
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._socket)
-        self._retry_timer = loop.call_later(RETRY_SECONDS, self._resume_accepting)
+        self._retry_timer = loop.call_later(ACCEPT_RETRY_SECONDS, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         assert self._socket is not None
@@ -210,5 +210,5 @@
     def _record_accepting(self) -> None:
         if self._failure_reported:
             self._failure_reported = False
-            self._report.accepting(self._state)
-        self._state.unblock()
+            self._report.record_accepting(self._state)
+        self._state.mark_accepting()
--- a/src/corkcrank/node/callers/caller_server.py
+++ b/src/corkcrank/node/callers/caller_server.py
@@ -26,35 +26,35 @@
 from corkcrank.node.callers.caller_listener import (
     CallerListener,
     ConnectionPhase,
-    HeldConnection,
+    IncomingConnection,
     ListenerReport,
 )
 from corkcrank.node.callers.listener_state import ListenerState
 from corkcrank.node.callers.refusals import Refusal
 
-SWEEP_SECONDS = 0.25
+SWEEP_INTERVAL_SECONDS = 0.25
 """Interval of the check for connections that are idle, slow to send a head, or closed."""
 
-MAXIMUM_FIELD_BYTES = 65_536
+MAX_FIELD_BYTES = 65_536
 """Limit of aiohttp's parser for one header field; the limit of the configuration is lower."""
 
 HEAD_SLACK_BYTES = 1_024
 """Size that an incomplete head may have beyond the configured limit of headers, for the request
 line. aiohttp limits single fields only, and not their sum."""
 
-NEVER_SECONDS = 86_400.0
+LIBRARY_KEEPALIVE_SECONDS = 86_400.0
 """Keep-alive timeout of aiohttp, in effect off: the periodic sweep closes idle connections."""
 
 LINGER_SECONDS = 0.5
 """Time for which the rest of a request body is read and discarded after the response."""
 
-SHUTDOWN_SECONDS = 0.1
+HANDLER_SHUTDOWN_SECONDS = 0.1
 """Time that aiohttp gives handlers at a stop; the drain has answered their calls by then."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class CallerConnection(RequestHandler, HeldConnection):
+class CallerConnection(RequestHandler, IncomingConnection):
     """One caller's connection, with the timestamps that the sweep and the listener use."""
 
     def __init__(
@@ -62,18 +62,18 @@
         manager: web.Server,
         loop: asyncio.AbstractEventLoop,
         limits: Callable[[], RequestLimits],
-        on_lost: Callable[[HeldConnection], None],
+        on_lost: Callable[[IncomingConnection], None],
     ) -> None:
         super().__init__(
             manager,
             loop=loop,
-            keepalive_timeout=NEVER_SECONDS,
-            max_line_size=MAXIMUM_FIELD_BYTES,
-            max_field_size=MAXIMUM_FIELD_BYTES,
+            keepalive_timeout=LIBRARY_KEEPALIVE_SECONDS,
+            max_line_size=MAX_FIELD_BYTES,
+            max_field_size=MAX_FIELD_BYTES,
             lingering_time=LINGER_SECONDS,
             auto_decompress=False,
         )
-        self.resting_since = clock.now()
+        self.idle_since = clock.now()
         self.head_since: float | None = None
         self.lost_at: float | None = None
         self._limits = limits
@@ -97,10 +97,10 @@
 
         aiohttp passes a request to its handler some loop iterations after it was read.
         """
-        return self._handling or self.unbegun
+        return self._handling or self.has_unhandled_request
 
     @property
-    def unbegun(self) -> bool:
+    def has_unhandled_request(self) -> bool:
         """Return whether a request was read whose handler has not started."""
         return self._request_count > self._handlers_started
 
@@ -109,10 +109,10 @@
         """Return how many bytes of a response are buffered until the caller reads more."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
-    def note_reading(self, now: float) -> None:
+    def observe_reading(self, now: float) -> None:
         """Restart the idle time if the caller has read buffered bytes since the last check."""
         if self.unsent_bytes != self._previous_unsent_bytes:
-            self.resting_since = now
+            self.idle_since = now
         self._previous_unsent_bytes = self.unsent_bytes
 
     @property
@@ -125,11 +125,11 @@
         return ConnectionPhase.RESTING if self.head_since is None else ConnectionPhase.HEAD
 
     @property
-    def waits_since(self) -> float:
+    def waiting_since(self) -> float:
         """Return when the current phase began, on the clock of :mod:`clock`."""
         if self.busy:
             return self._handler_started_at
-        return self.resting_since if self.head_since is None else self.head_since
+        return self.idle_since if self.head_since is None else self.head_since
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Record when the connection was closed, inform the listener, and end the handler."""
@@ -153,7 +153,7 @@
         self._head_bytes += size
         max_bytes = self._limits().header_bytes + HEAD_SLACK_BYTES
         if self._head_bytes > max_bytes and self.transport is not None:
-            self.transport.write(Refusal(ResultCode.HEADERS_TOO_LARGE).closing_bytes())
+            self.transport.write(Refusal(ResultCode.HEADERS_TOO_LARGE).encode_closing_response())
             self.force_close()
 
     def handle_error(
@@ -173,9 +173,9 @@
             if status < HTTPStatus.INTERNAL_SERVER_ERROR
             else ResultCode.INTERNAL_ERROR
         )
-        return Refusal(code, message or "", close=True).response()
+        return Refusal(code, message or "", close=True).to_response()
 
-    def end_if_left(self) -> None:
+    def abort_if_caller_closed(self) -> None:
         """Abort the request being handled if its caller has closed the connection.
 
         aiohttp detects a close only by reading. Reading is paused while pipelined requests
@@ -185,7 +185,7 @@
         if self._handling and self.transport is not None and closed_by_peer(self.transport):
             self.transport.abort()
 
-    def begin(self, content: StreamReader) -> None:
+    def record_handler_start(self, content: StreamReader) -> None:
         """Record that a handler has started; the request body may still be arriving."""
         self._handling = True
         self._handler_started_at = clock.now()
@@ -193,13 +193,13 @@
         self.head_since = None
         self._handlers_started += 1
 
-    def rest(self) -> None:
+    def record_handler_end(self) -> None:
         """Record that the handler has ended and the connection is idle."""
         self._handling = False
         self._content = None
-        self.resting_since = clock.now()
+        self.idle_since = clock.now()
 
-    def drop_unsent(self) -> None:
+    def abort_unsent(self) -> None:
         """Close without sending buffered bytes; a regular close would wait until they are read."""
         if self.transport is not None:
             self.transport.abort()
@@ -235,9 +235,9 @@
         return sum(item.busy or item.unsent_bytes > 0 for item in self.connections())
 
     @property
-    def unbegun(self) -> int:
+    def unhandled_requests(self) -> int:
         """Return the number of connections with a request whose handler has not started."""
-        return sum(item.unbegun for item in self.connections())
+        return sum(item.has_unhandled_request for item in self.connections())
 
     def connections(self) -> list[CallerConnection]:
         """Return every open connection."""
@@ -252,14 +252,14 @@
         """Stop accepting connections."""
         self._listener.close()
 
-    def close_resting(self, longer_than: float) -> None:
+    def close_idle_connections(self, longer_than: float) -> None:
         """Close connections that have been idle for ``longer_than`` seconds.
 
         Connections that have sent part of a head, or have unread response bytes, stay open.
         """
         now = clock.now()
         for connection in self.connections():
-            idle_seconds = now - connection.resting_since
+            idle_seconds = now - connection.idle_since
             receiving_or_sending = connection.head_since is not None or connection.unsent_bytes > 0
             if not connection.busy and not receiving_or_sending and idle_seconds > longer_than:
                 connection.force_close()
@@ -271,35 +271,35 @@
         self.stop_listening()
         for connection in self.connections():
             connection.force_close()
-        await self._server.shutdown(SHUTDOWN_SECONDS)
+        await self._server.shutdown(HANDLER_SHUTDOWN_SECONDS)
 
     def _make_connection(self) -> CallerConnection:
         return CallerConnection(
-            self._server, asyncio.get_running_loop(), self._limits, self._listener.lost
+            self._server, asyncio.get_running_loop(), self._limits, self._listener.remove_connection
         )
 
     async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = cast(CallerConnection, request.protocol)
-        connection.begin(request.content)
+        connection.record_handler_start(request.content)
         try:
             return await self._handler(request)
         finally:
-            connection.rest()
+            connection.record_handler_end()
 
     async def _sweep_connections(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             limits = self._limits()
             now = clock.now()
             for connection in self.connections():
                 if connection.busy:
-                    connection.end_if_left()
+                    connection.abort_if_caller_closed()
                     continue
-                connection.note_reading(now)
+                connection.observe_reading(now)
                 if connection.head_since is not None:
                     if now - connection.head_since > limits.header_seconds:
                         connection.force_close()
-                elif now - connection.resting_since > limits.idle_seconds:
+                elif now - connection.idle_since > limits.idle_seconds:
                     self._close_idle(connection, now)
 
     def _close_idle(self, connection: CallerConnection, now: float) -> None:
@@ -307,6 +307,6 @@
         if not connection.unsent_bytes:
             connection.force_close()
             return
-        waited = now - connection.resting_since
+        waited = now - connection.idle_since
         self.on_silence(SilentConnection(ConnectionKind.CALLER, connection.caller, waited))
-        connection.drop_unsent()
+        connection.abort_unsent()
--- a/src/corkcrank/node/callers/drain.py
+++ b/src/corkcrank/node/callers/drain.py
@@ -27,10 +27,10 @@
 end: if no other machine of a zone is ready, the balancer keeps sending callers here, and an
 error response is more useful to them than a refused connection."""
 
-LARGEST_LAG_SHARE = 0.5
+MAX_LAG_SHARE = 0.5
 """Maximum share of the grace period for the balancer's lag; applies if the period is short."""
 
-RESTING_CLOSE_SECONDS = 0.3
+DRAIN_IDLE_SECONDS = 0.3
 """Idle time after which connections are closed while draining."""
 
 DRAIN_RESERVE_SECONDS = 0.4
@@ -43,7 +43,7 @@
 """Time before the end of the drain after which other gateways' pieces are no longer queued
 here, so that calls in progress can end: about the duration of two calls."""
 
-CHECK_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 """Interval of the check whether a start or a drain is complete."""
 
 NEVER = float("inf")
@@ -76,7 +76,7 @@
         """
         stop_at = signalled_at + grace - DRAIN_RESERVE_SECONDS
         answer_by = stop_at - ANSWER_RESERVE_SECONDS
-        lag = min(BALANCER_LAG_SECONDS, LARGEST_LAG_SHARE * grace)
+        lag = min(BALANCER_LAG_SECONDS, MAX_LAG_SHARE * grace)
         return cls(signalled_at, min(signalled_at + lag, answer_by), answer_by, stop_at)
 
     @property
@@ -85,7 +85,7 @@
         return self.stop_at - PIECES_RESERVE_SECONDS
 
     @property
-    def begun(self) -> bool:
+    def signal_received(self) -> bool:
         """Return whether the signal to stop was received."""
         return self.signalled_at < NEVER
 
@@ -117,7 +117,7 @@
     def fits_before_stop(self) -> bool:
         """Return whether the call may still end before the end of a stop in progress."""
 
-    def give_up(self) -> CallAnswer:
+    def answer_at_stop(self) -> CallAnswer:
         """Return the response that is sent if a stop abandons :meth:`run`."""
 
 
@@ -149,15 +149,15 @@
         except TimeoutError:
             if not scope.expired():
                 raise
-            return run.give_up()
+            return run.answer_at_stop()
         finally:
             self._open.discard(item)
 
-    def end_unanswered(self) -> None:
+    def abandon_unanswered(self) -> None:
         """Abandon every call that has not started a response; its caller is answered now."""
         self._abandon(item for item in self._open if not item.run.answer_begun)
 
-    def end_hopeless(self) -> None:
+    def abandon_too_long(self) -> None:
         """Abandon the calls without a response that would not end before the stop."""
         self._abandon(
             item
@@ -172,7 +172,7 @@
                 item.scope.reschedule(now)
 
 
-def stopped_answer(call: OpaqueCall) -> Refusal:
+def abandoned_call_answer(call: OpaqueCall) -> Refusal:
     """Return the response to an abandoned call: unknown outcome if a worker may have run it."""
     if call.may_have_run:
         return Refusal(ResultCode.OUTCOME_UNKNOWN, "this gateway is stopping", close=True)
@@ -194,22 +194,22 @@
         """Drain until nothing is in flight, or until the time at which streams are cut."""
         while not self._drained(schedule):
             self._apply_schedule(schedule, clock.now())
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         self._callers.stop_listening()
         answers_until = max(schedule.stop_at, clock.now()) + ANSWER_RESERVE_SECONDS
         # Requests that arrived in the meantime are read now, and served as usual.
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         while self._callers_wait(schedule, clock.now(), answers_until):
-            self._callers.close_resting(0.0)
+            self._callers.close_idle_connections(0.0)
             self._apply_schedule(schedule, clock.now())
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _apply_schedule(self, schedule: DrainSchedule, now: float) -> None:
-        self._callers.close_resting(RESTING_CLOSE_SECONDS)
+        self._callers.close_idle_connections(DRAIN_IDLE_SECONDS)
         if now >= schedule.answer_by:
-            self._open_calls.end_unanswered()
+            self._open_calls.abandon_unanswered()
         else:
-            self._open_calls.end_hopeless()
+            self._open_calls.abandon_too_long()
         if now >= schedule.pieces_until:
             self._peers.refuse_pieces()
 
@@ -222,5 +222,5 @@
         """Return whether callers still wait; after ``stop_at`` only those without a response."""
         if now < schedule.stop_at:
             return self._callers.in_flight > 0
-        unanswered = self._open_calls.unanswered or self._callers.unbegun
+        unanswered = self._open_calls.unanswered or self._callers.unhandled_requests
         return bool(unanswered) and now < answers_until
--- a/src/corkcrank/node/callers/listener_report.py
+++ b/src/corkcrank/node/callers/listener_report.py
@@ -15,19 +15,19 @@
         self._log = log
         self._metrics = metrics
 
-    def closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
+    def record_closed(self, counts: Counter[ConnectionPhase], open_connections: int) -> None:
         """Record how many connections were closed to admit new ones, by phase."""
         by_name = {phase.name.lower(): count for phase, count in counts.items()}
         for name, count in by_name.items():
             self._metrics.connections_closed.labels(name).inc(count)
         self._log.write(LogEvent.CONNECTIONS_CLOSED, **by_name, open=open_connections)
 
-    def left(self, count: int) -> None:
+    def record_disconnected(self, count: int) -> None:
         """Record how many callers had disconnected before their connection was accepted."""
-        self._metrics.callers_left.inc(count)
+        self._metrics.callers_disconnected.inc(count)
         self._log.write(LogEvent.CALLERS_LEFT, count=count)
 
-    def failing(self, state: ListenerState) -> None:
+    def record_blocked(self, state: ListenerState) -> None:
         """Record that accepting has been blocked for longer than the limit."""
         self._log.write(
             LogEvent.NOT_READY,
@@ -36,7 +36,7 @@
             limit=state.connection_limit,
         )
 
-    def accepting(self, state: ListenerState) -> None:
+    def record_accepting(self, state: ListenerState) -> None:
         """Record that accepting works again; called while the state still has the block's start."""
         self._log.write(
             LogEvent.READY,
--- a/src/corkcrank/node/callers/listener_state.py
+++ b/src/corkcrank/node/callers/listener_state.py
@@ -12,34 +12,34 @@
 from corkcrank.contracts import clock
 from corkcrank.contracts.node_settings import NodeLimitSettings
 
-FILE_DESCRIPTORS = 200
+RESERVED_FILE_DESCRIPTORS = 200
 """Descriptors reserved for files, never used for sockets; half of all if there are few."""
 
-CALLERS_SHARE = 0.5
+MAX_CALLERS_DESCRIPTOR_SHARE = 0.5
 """Maximum share of the socket descriptors for callers' connections.
 
 A request in progress uses one connection to a worker for each caller's connection. The other
 half is for workers, the store, peers, readiness and metrics."""
 
-CALLERS_MEMORY_SHARE = 0.5
+MAX_CALLERS_MEMORY_SHARE = 0.5
 """Maximum share of the memory for connections that wait for a request."""
 
-CONNECTION_BYTES = 24_000
+MAX_CONNECTION_BYTES = 24_000
 """Maximum memory of a connection without a request in progress: it is idle after a request, or
 its head is incomplete. A connection that never sent a byte uses a quarter of it."""
 
-BYTES_OF_MB = 2**20
+BYTES_PER_MB = 2**20
 
-UNLIMITED_DESCRIPTORS = 2**20
+DEFAULT_DESCRIPTOR_LIMIT = 2**20
 """Number of descriptors if neither the operating system nor the settings limit them."""
 
-FEWEST_CONNECTIONS = 8
+MIN_CONNECTION_LIMIT = 8
 """Minimum connection limit, also if descriptors or memory allow fewer."""
 
 RESUME_SHARE = 15 / 16
 """Share of the connection limit below which a gateway that reached it accepts again."""
 
-PATIENCE_SECONDS = 0.5
+UNREADY_AFTER_SECONDS = 0.5
 """Time for which accepting may be blocked before the gateway reports that it is not ready."""
 
 
@@ -67,12 +67,12 @@
     @property
     def ready(self) -> bool:
         """Return whether the load balancer may send callers to this gateway."""
-        return self._serving() and self.listening and not self.failing
+        return self._serving() and self.listening and not self.blocked_too_long
 
     @property
-    def failing(self) -> bool:
+    def blocked_too_long(self) -> bool:
         """Return whether accepting has been blocked for more than ``PATIENCE_SECONDS``."""
-        return self.blocked_by is not None and self.blocked_seconds > PATIENCE_SECONDS
+        return self.blocked_by is not None and self.blocked_seconds > UNREADY_AFTER_SECONDS
 
     @property
     def blocked_seconds(self) -> float:
@@ -80,7 +80,7 @@
         return clock.now() - self._blocked_since if self.blocked_by is not None else 0.0
 
     @property
-    def has_place(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether the limit permits one more connection.
 
         After the limit has blocked accepting, the number of connections must first fall below
@@ -91,13 +91,13 @@
             return self.open_connections < max(1, int(limit * RESUME_SHARE))
         return self.open_connections < limit
 
-    def block(self, cause: BlockCause) -> None:
+    def mark_blocked(self, cause: BlockCause) -> None:
         """Record that a connection could not be accepted."""
         if self.blocked_by is None:
             self._blocked_since = clock.now()
         self.blocked_by = cause
 
-    def unblock(self) -> None:
+    def mark_accepting(self) -> None:
         """Record that accepting works."""
         self.blocked_by = None
 
@@ -111,12 +111,12 @@
     218
     """
     descriptors = _descriptor_limit(limits)
-    sockets = max(descriptors - FILE_DESCRIPTORS, descriptors // 2)
-    allowed = int(sockets * CALLERS_SHARE)
+    sockets = max(descriptors - RESERVED_FILE_DESCRIPTORS, descriptors // 2)
+    allowed = int(sockets * MAX_CALLERS_DESCRIPTOR_SHARE)
     if limits.memory_mb:
-        memory_bytes = limits.memory_mb * BYTES_OF_MB
-        allowed = min(allowed, int(memory_bytes * CALLERS_MEMORY_SHARE / CONNECTION_BYTES))
-    return max(FEWEST_CONNECTIONS, allowed)
+        memory_bytes = limits.memory_mb * BYTES_PER_MB
+        allowed = min(allowed, int(memory_bytes * MAX_CALLERS_MEMORY_SHARE / MAX_CONNECTION_BYTES))
+    return max(MIN_CONNECTION_LIMIT, allowed)
 
 
 def _descriptor_limit(limits: NodeLimitSettings) -> int:
@@ -124,5 +124,5 @@
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     configured = limits.file_descriptors
     if allowed == resource.RLIM_INFINITY:
-        allowed = configured or UNLIMITED_DESCRIPTORS
+        allowed = configured or DEFAULT_DESCRIPTOR_LIMIT
     return min(allowed, configured) if configured else allowed
--- a/src/corkcrank/node/callers/refusals.py
+++ b/src/corkcrank/node/callers/refusals.py
@@ -14,7 +14,7 @@
 """Time after which a caller may retry at a gateway that is not stopping: a few round trips."""
 
 
-class CallerLeftError(ConnectionResetError):
+class CallerDisconnectedError(ConnectionResetError):
     """The caller has closed its connection and cannot receive a response."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
         """Return the response to a call whose request is quarantined for ``seconds`` more."""
         return cls(ResultCode.REQUEST_QUARANTINED, retry_after=seconds)
 
-    def closing_bytes(self) -> bytes:
+    def encode_closing_response(self) -> bytes:
         """Return the encoded HTTP response if no request was read; it ends the connection."""
         status, body = self.code.http_status, self._encoded_body()
         lines = [
@@ -65,7 +65,7 @@
             RefusalBody(self.code.number, self.code.name, self.detail, self.code.ran.value)
         )
 
-    def response(self) -> web.Response:
+    def to_response(self) -> web.Response:
         """Return the refusal as an HTTP response."""
         headers = {"Content-Type": "application/json"}
         if self.retry_after is not None:
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -9,7 +9,7 @@
 from corkcrank.contracts.opaque_configuration import CallKind
 from corkcrank.contracts.result_codes import ResultCode
 from corkcrank.contracts.worker_records import WorkerRecord
-from corkcrank.node.callers.drain import stopped_answer
+from corkcrank.node.callers.drain import abandoned_call_answer
 from corkcrank.node.callers.refusals import Refusal
 from corkcrank.node.calls.attempts import Attempt, AttemptOutcome, attempt_call
 from corkcrank.node.calls.services import DEFAULT_PLAIN_SECONDS, CallServices
@@ -50,9 +50,9 @@
         """Return true: the usual time was checked when the call began."""
         return True
 
-    def give_up(self) -> web.StreamResponse | Refusal:
+    def answer_at_stop(self) -> web.StreamResponse | Refusal:
         """Return the last answer of a worker, or a refusal because the gateway stops."""
-        return self._last_answer or stopped_answer(self._call)
+        return self._last_answer or abandoned_call_answer(self._call)
 
     async def run(self) -> web.StreamResponse | Refusal:
         """Return the worker's answer, or the refusal that states why there is none."""
@@ -84,7 +84,7 @@
     def _ends_before_stop(self) -> bool:
         """Return whether the call would end before this gateway stops; true unless draining."""
         services, call = self._services, self._call
-        if not services.drain.begun:
+        if not services.drain.signal_received:
             return True
         needed_seconds = services.plain_times.mean_seconds(call.service, DEFAULT_PLAIN_SECONDS)
         if call.route.kind is CallKind.UNREPEATABLE:
@@ -106,7 +106,7 @@
         self._limit_wait = verdict.wait
         free = self._rank([item for item in usable if item not in limited], (), clock.now())
         outcome = "elsewhere" if free else "refused"
-        self._services.metrics.limit_held_back.labels(outcome).inc()
+        self._services.metrics.calls_at_limits.labels(outcome).inc()
         return free[0] if free else None
 
     def _rank(
--- a/src/corkcrank/node/ingress/call_handler.py
+++ b/src/corkcrank/node/ingress/call_handler.py
@@ -20,7 +20,7 @@
 from corkcrank.links.decision_log import LogEvent
 from corkcrank.node.callers.caller_server import seconds_since_close
 from corkcrank.node.callers.drain import CallAnswer, CallRun, OpenCalls
-from corkcrank.node.callers.refusals import CallerLeftError, Refusal
+from corkcrank.node.callers.refusals import CallerDisconnectedError, Refusal
 from corkcrank.node.calls.plain_run import PlainRun
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.streams.stream_run import StreamRun
@@ -72,13 +72,13 @@
             self._services.log.write(LogEvent.INTERNAL_FAULT, error=repr(error), path=request.path)
             outcome = Refusal(ResultCode.INTERNAL_ERROR, type(error).__name__, close=True)
         response = self._count_refusal(outcome) if isinstance(outcome, Refusal) else outcome
-        if self._services.drain.begun and not response.prepared:
+        if self._services.drain.signal_received and not response.prepared:
             response.force_close()
         return response
 
     def _count_refusal(self, refusal: Refusal) -> web.Response:
         self._services.metrics.refusals.labels(refusal.code.name).inc()
-        return refusal.response()
+        return refusal.to_response()
 
     async def _serve(
         self, request: web.BaseRequest, arrived_at: float
@@ -111,7 +111,7 @@
         retry_after: float | None = None
         try:
             if closed_by_peer(request.transport):
-                raise CallerLeftError
+                raise CallerDisconnectedError
             answer = await self.open_calls.serve(self._create_run(call, request))
             if isinstance(answer, Refusal):
                 outcome, detail = answer.code.name, answer.detail
@@ -119,7 +119,7 @@
             else:
                 outcome = str(answer.status)
             return answer
-        except CallerLeftError:
+        except CallerDisconnectedError:
             raise
         except ConnectionError as error:
             outcome, detail = "broken", str(error)
@@ -146,7 +146,7 @@
         """Record how long work continued after a caller left; the owner records that of stages."""
         if call.step is not CallStep.STAGES:
             seconds = seconds_since_close(request)
-            self._services.metrics.released(call.step.value, seconds)
+            self._services.metrics.record_release(call.step.value, seconds)
 
     def _record_end(
         self, call: OpaqueCall, outcome: str, detail: str, retry_after: float | None
@@ -160,9 +160,9 @@
         now = clock.now()
         first_byte_seconds = (call.first_byte_at or now) - call.arrived_at
         metrics.calls.labels(call.route.kind.value, str(call.rank), outcome).inc()
-        metrics.seconds.labels(call.route.kind.value).observe(first_byte_seconds)
+        metrics.time_to_first_byte.labels(call.route.kind.value).observe(first_byte_seconds)
         if not outcome.isdigit():
-            metrics.held.labels(outcome).observe(now - call.arrived_at)
+            metrics.unserved_call_seconds.labels(outcome).observe(now - call.arrived_at)
         self._services.log.write(
             LogEvent.CALL_ENDED,
             call=call.call_id,
@@ -189,7 +189,7 @@
         Negative for a call that arrived before the signal, ``None`` without a signal.
         """
         drain = self._services.drain
-        return round(call.arrived_at - drain.signalled_at, 3) if drain.begun else None
+        return round(call.arrived_at - drain.signalled_at, 3) if drain.signal_received else None
 
     def _read_call(
         self, request: web.BaseRequest, body: bytes, arrived_at: float
@@ -309,7 +309,7 @@
         """Return true: the remaining size of the body is unknown."""
         return True
 
-    def give_up(self) -> Refusal:
+    def answer_at_stop(self) -> Refusal:
         """Return the refusal of a request whose body is incomplete when the gateway stops."""
         return Refusal.draining("the request body was incomplete when the gateway stopped")
 
--- a/src/corkcrank/node/process/background.py
+++ b/src/corkcrank/node/process/background.py
@@ -16,7 +16,7 @@
 """Time between measurements of the event loop's lag."""
 
 
-async def register(
+async def register_member(
     process: NodeProcessSettings, store: MetadataStore, fleet: Fleet, heartbeats: HeartbeatLoop
 ) -> None:
     """Write this node's address to the store, then read the addresses of the others once.
@@ -33,7 +33,7 @@
     heartbeats.request_urgent_send()
 
 
-async def measure_lag(metrics: NodeMetrics, fleet: Fleet) -> None:
+async def measure_loop_lag(metrics: NodeMetrics, fleet: Fleet) -> None:
     """Measure periodically how late the event loop runs, and count the live members."""
     while True:
         scheduled_at = clock.now() + LAG_PROBE_SECONDS
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -16,7 +16,7 @@
 from corkcrank.machines.store_followers import StoreFollowerElection
 from corkcrank.machines.store_mirror import StoreMirror
 from corkcrank.node.callers.caller_server import CallerServer
-from corkcrank.node.callers.drain import CHECK_SECONDS, CallerDrain, DrainSchedule
+from corkcrank.node.callers.drain import CHECK_INTERVAL_SECONDS, CallerDrain, DrainSchedule
 from corkcrank.node.callers.listener_report import NodeListenerReport
 from corkcrank.node.callers.listener_state import ListenerState, connection_limit
 from corkcrank.node.calls.services import CallServices
@@ -29,9 +29,9 @@
 from corkcrank.node.membership.peer_server import PeerServer, serve_readiness
 from corkcrank.node.membership.quarantine_rows import QuarantineRows
 from corkcrank.node.peers.peer_client import PeerClient
-from corkcrank.node.process.background import measure_lag, register
+from corkcrank.node.process.background import measure_loop_lag, register_member
 from corkcrank.node.process.state_collector import StateCollector
-from corkcrank.node.process.state_dump import NodeDump, make_dump
+from corkcrank.node.process.state_dump import NodeDump, build_dump
 from corkcrank.node.stages.stage_dispatch import StageDispatch
 from corkcrank.node.stages.stage_owner import StageOwner
 from corkcrank.node.stages.stage_worker_client import StageWorkerClient
@@ -47,7 +47,7 @@
 from corkcrank.scheduling.prefill_pace import PrefillPace
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
-FREE_SECONDS = 0.1
+MAX_RELEASE_WAIT_SECONDS = 0.1
 """Maximum time at a stop to send workers the release of results. With the time that servers
 take to close, it stays below the part of the grace period that a drain reserves."""
 
@@ -78,11 +78,11 @@
         self._engines = EngineChooser()
         metrics = NodeMetrics()
         silence = SilenceLog(log, metrics)
-        ports.store.on_silence = silence.note
+        ports.store.on_silence = silence.record_dropped
         unreadable = UnreadableLog(log, metrics)
-        self.mirror.entry_reader.on_unreadable = unreadable.note
-        self._client = WorkerClient(silence.note)
-        self._peers = PeerClient(silence.note)
+        self.mirror.entry_reader.on_unreadable = unreadable.record_unreadable
+        self._client = WorkerClient(silence.record_dropped)
+        self._peers = PeerClient(silence.record_dropped)
         self._statements = WorkerStatements(ports.statements, log, metrics)
         limits = WorkerLimits(self.mirror, self.fleet, self._statements.limits)
         self.stage_owner = StageOwner(
@@ -136,10 +136,10 @@
             random=random_source,
             zone=process.zone,
             bounds=settings.bounds,
-            record_silence=silence.note,
+            record_silence=silence.record_dropped,
         )
-        self.stage_owner.room.on_unreadable = unreadable.note
-        self.stage_owner.on_release = self.services.metrics.released
+        self.stage_owner.room.on_unreadable = unreadable.record_unreadable
+        self.stage_owner.on_release = self.services.metrics.record_release
         self.services.metrics.registry.register(StateCollector(self.services, self.stage_owner))
         self.call_handler = CallHandler(self.services)
         self.listener_state = ListenerState(
@@ -152,7 +152,7 @@
             NodeListenerReport(log, self.services.metrics),
         )
         self.services.metrics.connections.set_function(lambda: self.listener_state.open_connections)
-        self.callers.on_silence = silence.note
+        self.callers.on_silence = silence.record_dropped
         self.heartbeats = HeartbeatLoop(
             self.fleet,
             self.mirror,
@@ -190,7 +190,7 @@
             self.services.metrics.registry,
             self.dump,
         )
-        self._peer_server.on_silence = silence.note
+        self._peer_server.on_silence = silence.record_dropped
         self._readiness: web.ServerRunner | None = None
         self._loops: list[asyncio.Task[None]] = []
 
@@ -199,7 +199,7 @@
         """Return whether the load balancer may send callers to this gateway."""
         return self.listener_state.ready
 
-    def take_settings(self, settings: NodeSettings) -> None:
+    def apply_settings(self, settings: NodeSettings) -> None:
         """Apply the bounds and limits of a changed settings file."""
         self._settings = settings
         self._election.shortest_bound = settings.bounds.min_reaction_seconds
@@ -208,7 +208,7 @@
 
     def dump(self) -> NodeDump:
         """Return the state dump for ``/dump``."""
-        return make_dump(self.services, self.stage_owner, self.life.state, self.callers.in_flight)
+        return build_dump(self.services, self.stage_owner, self.life.state, self.callers.in_flight)
 
     async def start(self) -> None:
         """Open the servers for peers, readiness and callers, then start the background loops."""
@@ -231,9 +231,9 @@
             self._spawn(self.heartbeats.send_urgent_heartbeats()),
             self._spawn(self.heartbeats.forward_updates()),
             self._spawn(self._pulls.pull_periodically()),
-            self._spawn(register(process, self._ports.store, self.fleet, self.heartbeats)),
+            self._spawn(register_member(process, self._ports.store, self.fleet, self.heartbeats)),
             self._spawn(self._become_ready()),
-            self._spawn(measure_lag(self.services.metrics, self.fleet)),
+            self._spawn(measure_loop_lag(self.services.metrics, self.fleet)),
             self._spawn(self._health.evaluate_periodically()),
             self._spawn(self._quarantine_rows.keep_rows_current()),
         ]
@@ -266,8 +266,8 @@
         tasks fail on closed sessions.
         """
         await asyncio.gather(
-            self.services.dispatch.owner_client.wait_for_messages(FREE_SECONDS),
-            self.stage_owner.room.wait_for_free_messages(FREE_SECONDS),
+            self.services.dispatch.owner_client.wait_for_messages(MAX_RELEASE_WAIT_SECONDS),
+            self.stage_owner.room.wait_for_free_messages(MAX_RELEASE_WAIT_SECONDS),
         )
 
     async def _cancel_loops(self) -> None:
@@ -280,7 +280,7 @@
         while running:
             for task in running:
                 task.cancel()
-            _, running = await asyncio.wait(running, timeout=CHECK_SECONDS)
+            _, running = await asyncio.wait(running, timeout=CHECK_INTERVAL_SECONDS)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
@@ -303,7 +303,7 @@
     def _on_mirror_change(self) -> None:
         self.services.metrics.configuration_version.set(self.mirror.version)
         listed = {record.worker_id for record in self.mirror.workers.records()}
-        self._capacity_log.note()
+        self._capacity_log.log_changes()
         self._worker_statistics.retain_only(listed)
         self._engines.retain_only(listed)
         self._health.retain_only(listed)
@@ -313,7 +313,7 @@
 
     async def _become_ready(self) -> None:
         while self.mirror.configuration is None or not self.mirror.workers_known:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         if self.life.fire(ProcessTrigger.SERVE):
             self.fleet.local_phase = Phase.SERVING
             self._log.write(LogEvent.READY, version=self.mirror.version)
--- a/src/corkcrank/node/process/node_process.py
+++ b/src/corkcrank/node/process/node_process.py
@@ -17,7 +17,7 @@
 from corkcrank.node.process.settings_watcher import SettingsWatcher
 from corkcrank.platform.ports import SETTINGS_VARIABLE, connect_platform
 
-EXIT_SETTINGS = 3
+EXIT_INVALID_SETTINGS = 3
 """Exit status of a gateway whose settings file is missing or invalid."""
 
 
@@ -32,7 +32,7 @@
     if result.is_error():
         failure = result.error
         print(f"error {failure.code.number} {failure.code.name}: {failure.detail}", flush=True)
-        raise SystemExit(EXIT_SETTINGS)
+        raise SystemExit(EXIT_INVALID_SETTINGS)
     settings = result.ok
     log = DecisionLog(BoundedOutput(), settings.process.name)
     asyncio.run(_run(settings, path, log))
@@ -40,12 +40,12 @@
 
 async def _run(settings: NodeSettings, path: Path, log: DecisionLog) -> None:
     loop = asyncio.get_running_loop()
-    signalled = _watch_signals(loop)
+    signalled = _first_stop_signal(loop)
     async with aiohttp.ClientSession() as session:
         ports = connect_platform(session, settings.store.address, settings.store.timeout)
         node = Node(settings, ports, log, random.Random())
-        watcher = SettingsWatcher(path, settings, log, node.take_settings)
-        loop.add_signal_handler(signal.SIGHUP, watcher.look)
+        watcher = SettingsWatcher(path, settings, log, node.apply_settings)
+        loop.add_signal_handler(signal.SIGHUP, watcher.reload_if_changed)
         await node.start()
         watching = asyncio.create_task(watcher.watch())
         signalled_at = await signalled
@@ -53,7 +53,7 @@
         await node.stop(signalled_at)
 
 
-def _watch_signals(loop: asyncio.AbstractEventLoop) -> asyncio.Future[float]:
+def _first_stop_signal(loop: asyncio.AbstractEventLoop) -> asyncio.Future[float]:
     """Return a future of the time of the first signal to stop, on the clock of :mod:`clock`.
 
     The grace period starts at the signal, also during a start or while the event loop is
--- a/src/corkcrank/node/process/settings_watcher.py
+++ b/src/corkcrank/node/process/settings_watcher.py
@@ -7,7 +7,7 @@
 from corkcrank.contracts.node_settings import NodeSettings, load_node_settings
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 
-LOOK_SECONDS = 2.0
+POLL_SECONDS = 2.0
 """Polling interval of the file, as it may change without a signal."""
 
 
@@ -34,10 +34,10 @@
     async def watch(self) -> None:
         """Poll the file until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.look()
+            await asyncio.sleep(POLL_SECONDS)
+            self.reload_if_changed()
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Read the file, and apply its settings if they have changed."""
         result = load_node_settings(self._path)
         if result.is_error():
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -102,7 +102,7 @@
     store_calls: dict[str, int]
 
 
-def make_dump(
+def build_dump(
     services: CallServices, stage_owner: StageOwner, state: str, in_flight: int
 ) -> NodeDump:
     """Return the current state."""
--- a/src/corkcrank/node/program.py
+++ b/src/corkcrank/node/program.py
@@ -15,7 +15,7 @@
     """Serve until SIGTERM with the settings file that the platform names."""
     # The settings file is read later, so a change that was signalled before is not missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, _end_before_serving)
+    signal.signal(signal.SIGTERM, _exit_before_serving)
     _skip_loading_certificates()
     # Imported objects live as long as the process: garbage collections during the imports
     # free nothing, and took 0.03 s of the 0.43 s of processor time of the imports.
@@ -37,7 +37,7 @@
     os.environ["SSL_CERT_DIR"] = os.devnull
 
 
-def _end_before_serving(number: int, frame: FrameType | None) -> None:
+def _exit_before_serving(number: int, frame: FrameType | None) -> None:
     """Exit the process at once; nothing is open at this point.
 
     Raising an exception instead is not reliable: the interpreter drops one that is raised in a
--- a/src/corkcrank/node/streams/stream_admission.py
+++ b/src/corkcrank/node/streams/stream_admission.py
@@ -55,7 +55,7 @@
         ``stages_seconds`` is the time that the call's stages still need.
         """
         drain = self._services.drain
-        if not drain.begun:
+        if not drain.signal_received:
             return True
         needed = stages_seconds + self.first_event_seconds() + self._stream_seconds()
         return clock.now() + needed <= drain.stop_at
@@ -69,7 +69,7 @@
     def log_time_left(self, stages_seconds: float = 0.0) -> None:
         """Log the forecast times of a call that is served while this gateway is draining."""
         drain = self._services.drain
-        if not drain.begun:
+        if not drain.signal_received:
             return
         self._services.log.write(
             LogEvent.CALL_ADMITTED_STOPPING,
--- a/src/corkcrank/node/streams/stream_answer.py
+++ b/src/corkcrank/node/streams/stream_answer.py
@@ -86,7 +86,7 @@
             response = web.StreamResponse(status=upstream.status, reason=upstream.reason)
             headers = self._services.ports.calls.answer_headers(list(upstream.headers.items()))
             replace_headers(response, headers)
-            if self._services.drain.begun:
+            if self._services.drain.signal_received:
                 response.force_close()
             self._response = response
             self._call.answer_begun = True
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -9,8 +9,8 @@
 from corkcrank.contracts.result_codes import ResultCode
 from corkcrank.contracts.worker_records import WorkerRecord
 from corkcrank.links.decision_log import LogEvent
-from corkcrank.node.callers.drain import stopped_answer
-from corkcrank.node.callers.refusals import CallerLeftError, Refusal
+from corkcrank.node.callers.drain import abandoned_call_answer
+from corkcrank.node.callers.refusals import CallerDisconnectedError, Refusal
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.engines.engine_owner import PrefillVerdict
 from corkcrank.node.stages.stage_failures import StageFailedError
@@ -56,12 +56,12 @@
         """Return whether the call may have run already or usually ends before the stop."""
         return self._call.may_have_run or self._admission.ends_before_stop()
 
-    def give_up(self) -> web.StreamResponse | Refusal:
+    def answer_at_stop(self) -> web.StreamResponse | Refusal:
         """Return the answer to send when the gateway stops; abort an answer that has begun."""
         if self._answer.prepared:
             self._answer.abort()
             raise ConnectionResetError("the gateway stops before the stream is complete")
-        return self._exchanges.failure or stopped_answer(self._call)
+        return self._exchanges.failure or abandoned_call_answer(self._call)
 
     async def run(self) -> web.StreamResponse | Refusal:
         """Return the finished answer, or the refusal that states why there is none."""
@@ -101,7 +101,7 @@
             grants = self._services.limit_grants
             verdict = await grants.request_grant(self._call, engines, begins=True)
             if verdict.worker is None:
-                self._services.metrics.limit_held_back.labels("refused").inc()
+                self._services.metrics.calls_at_limits.labels("refused").inc()
                 return Refusal(ResultCode.WORKERS_LIMITED, retry_after=verdict.wait)
             engines = [verdict.worker]
         return self._admission.admit(engines)
@@ -119,7 +119,7 @@
                 self._services.crash_watch.record_completed(self._call)
                 return self._answer.finished()
             if end is RelayEnd.CALLER_GONE:
-                raise CallerLeftError
+                raise CallerDisconnectedError
             if not self._exchanges.may_try_another:
                 break
             if clock.now() >= self._call.end_at:
@@ -189,7 +189,7 @@
                 )
                 turn = PrefillVerdict(found.engine, min(turn.wait, found.wait))
         outcome = "held back" if turn.engine is None else "elsewhere"
-        self._services.metrics.limit_held_back.labels(outcome).inc()
+        self._services.metrics.calls_at_limits.labels(outcome).inc()
         self._services.log.write(
             LogEvent.LIMIT_HELD_BACK,
             call=self._call.call_id,
@@ -241,7 +241,7 @@
             return self._plan.final_handles()
         self._call.step = CallStep.STAGES
         handles, seconds = await self._timed_stages(self._exchanges.stages)
-        self._services.metrics.stage_wait.observe(seconds)
+        self._services.metrics.stage_seconds.observe(seconds)
         self._services.log.write(
             LogEvent.STAGE_ENDED,
             call=self._call.call_id,
@@ -318,7 +318,7 @@
             return Refusal(ResultCode.STAGE_FAILED, error.detail)
         if wait := self._services.crash_watch.quarantine_seconds_left(self._call):
             return Refusal.quarantined(wait)
-        if self._services.drain.begun:
+        if self._services.drain.signal_received:
             return Refusal.draining(error.detail)
         code = ResultCode.STAGE_NOT_MADE if error.started else ResultCode.CAPACITY_SHORT
         retry = max(MIN_RETRY_SECONDS, error.retry_after)
--- a/src/corkcrank/node/telemetry/capacity_log.py
+++ b/src/corkcrank/node/telemetry/capacity_log.py
@@ -12,7 +12,7 @@
         self._log = log
         self._logged_counts: dict[str, int] = {}
 
-    def note(self) -> None:
+    def log_changes(self) -> None:
         """Compare the configured services with the numbers logged last, and log differences."""
         configuration = self._mirror.configuration
         if configuration is None or not self._mirror.workers_known:
--- a/src/corkcrank/node/telemetry/metrics.py
+++ b/src/corkcrank/node/telemetry/metrics.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
+LATENCY_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 """Upper bounds of latency histograms, in seconds."""
 
 RATIO_BUCKETS = (0.25, 0.5, 0.8, 1.0, 1.25, 1.5, 2.0, 3.0, 5.0)
@@ -26,18 +26,18 @@
             ("kind", "rank", "outcome"),
             registry=self.registry,
         )
-        self.seconds = Histogram(
+        self.time_to_first_byte = Histogram(
             "corkcrank_call_seconds",
             "Time to the first byte of a response.",
             ("kind",),
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.held = Histogram(
+        self.unserved_call_seconds = Histogram(
             "corkcrank_held_seconds",
             "Time from arrival to end of calls without a worker's response.",
             ("cause",),
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.attempts = Counter(
@@ -46,7 +46,7 @@
             ("outcome",),
             registry=self.registry,
         )
-        self.verdicts = Counter(
+        self.worker_verdicts = Counter(
             "corkcrank_worker_verdicts",
             "Changes of the verdict on a worker that fails calls, by the new verdict.",
             ("verdict",),
@@ -57,7 +57,7 @@
             "Suspensions of the machine during this process.",
             registry=self.registry,
         )
-        self.worker_ends = Counter(
+        self.crashed_worker_requests = Counter(
             "corkcrank_worker_ends",
             "Requests in progress at crashed workers, by service; one per worker and request.",
             ("service",),
@@ -68,7 +68,7 @@
             "Requests quarantined because workers crashed during them.",
             registry=self.registry,
         )
-        self.verdicts_taken_back = Counter(
+        self.quarantines_withdrawn = Counter(
             "corkcrank_request_verdicts_taken_back",
             "Requests released from quarantine because other requests explain the crashes.",
             registry=self.registry,
@@ -79,7 +79,7 @@
             ("problem",),
             registry=self.registry,
         )
-        self.limit_held_back = Counter(
+        self.calls_at_limits = Counter(
             "corkcrank_limit_held_back",
             "Calls for which workers were at their limits, by outcome.",
             ("outcome",),
@@ -129,7 +129,7 @@
             ("phase",),
             registry=self.registry,
         )
-        self.callers_left = Counter(
+        self.callers_disconnected = Counter(
             "corkcrank_callers_left_early",
             "Callers that had disconnected before their connection was accepted.",
             registry=self.registry,
@@ -146,13 +146,13 @@
             ("cache",),
             registry=self.registry,
         )
-        self.stage_wait = Histogram(
+        self.stage_seconds = Histogram(
             "corkcrank_stage_seconds",
             "Time of all stages of a call.",
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self.release = Histogram(
+        self.release_seconds = Histogram(
             "corkcrank_release_seconds",
             "Time from a caller's disconnect, or a call's message to its pieces' owner, to the"
             " release of the last worker.",
@@ -175,9 +175,9 @@
             registry=self.registry,
         )
 
-    def released(self, step: str, seconds: float) -> None:
+    def record_release(self, step: str, seconds: float) -> None:
         """Record the seconds until no worker runs a call any more whose caller has disconnected."""
-        self.release.labels(step).observe(seconds)
+        self.release_seconds.labels(step).observe(seconds)
 
     def refusals_by_cause(self) -> dict[str, int]:
         """Return how many responses this gateway generated itself, by cause."""
--- a/src/corkcrank/node/telemetry/silence_log.py
+++ b/src/corkcrank/node/telemetry/silence_log.py
@@ -12,7 +12,7 @@
         self._log = log
         self._metrics = metrics
 
-    def note(self, connection: SilentConnection) -> None:
+    def record_dropped(self, connection: SilentConnection) -> None:
         """Record one connection that was dropped."""
         self._metrics.silent_connections.labels(connection.kind.value).inc()
         self._log.write(
--- a/src/corkcrank/node/telemetry/unreadable_log.py
+++ b/src/corkcrank/node/telemetry/unreadable_log.py
@@ -12,7 +12,7 @@
         self._log = log
         self._metrics = metrics
 
-    def note(self, document: UnreadableDocument) -> None:
+    def record_unreadable(self, document: UnreadableDocument) -> None:
         """Record one document that was skipped."""
         self._metrics.unreadable_documents.labels(document.kind.value).inc()
         self._log.write(
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -177,7 +177,7 @@
         request, worker_id = call.fingerprint, worker.worker_id
         if not self.quarantine.record_crash(request, worker_id, now, progressed=progressed):
             return
-        self._metrics.worker_ends.labels(worker.service).inc()
+        self._metrics.crashed_worker_requests.labels(worker.service).inc()
         self._log.write(
             LogEvent.WORKER_ENDED,
             call=call.call_id,
@@ -218,7 +218,7 @@
             self._record_quarantine(request, self._verdicts[request], now)
         for request in sorted(before.keys() - self._verdicts.keys()):
             if self.quarantine.state(request, now) is RequestState.SUSPECTED:
-                self._metrics.verdicts_taken_back.inc()
+                self._metrics.quarantines_withdrawn.inc()
                 self._log.write(LogEvent.REQUEST_FREED, request=request)
         self._schedule_review(now)
 
--- a/src/corkcrank/node/workers/worker_health.py
+++ b/src/corkcrank/node/workers/worker_health.py
@@ -101,7 +101,7 @@
             )
         for change in changes:
             self._worker_statistics.get_or_create(change.worker.worker_id).verdict = change.after
-            self._metrics.verdicts.labels(change.after.value).inc()
+            self._metrics.worker_verdicts.labels(change.after.value).inc()
             self._log_change(change)
 
     def _log_change(self, change: VerdictChange) -> None:
--- a/tests/platform/test_accepting.py
+++ b/tests/platform/test_accepting.py
@@ -20,10 +20,10 @@
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.node_settings import NodeLimitSettings
-from corkcrank.node.callers.caller_listener import SPARED_SECONDS
+from corkcrank.node.callers.caller_listener import MIN_WAIT_BEFORE_CLOSE_SECONDS
 from corkcrank.node.callers.listener_state import (
-    FEWEST_CONNECTIONS,
-    PATIENCE_SECONDS,
+    MIN_CONNECTION_LIMIT,
+    UNREADY_AFTER_SECONDS,
     BlockCause,
     ListenerState,
     connection_limit,
@@ -104,7 +104,7 @@
     while await running.metric("corkcrank_connections") < len(running.held):
         await asyncio.sleep(0.01)
     held_since = clock.now()
-    await until(lambda: clock.now() - held_since > SPARED_SECONDS)
+    await until(lambda: clock.now() - held_since > MIN_WAIT_BEFORE_CLOSE_SECONDS)
 
 
 async def test_longest_resting_connections_are_closed_first() -> None:
@@ -175,7 +175,7 @@
         assert node.ready, "a moment without descriptors is no reason to leave"
         await until(lambda: not node.ready)
         assert node.life.state == "serving"
-        assert failing.tries < 20 * (PATIENCE_SECONDS + 1.0)
+        assert failing.tries < 20 * (UNREADY_AFTER_SECONDS + 1.0)
         failing.failing = False
         await until(lambda: node.ready)
         assert (await call).status == 200
@@ -194,8 +194,8 @@
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}) as running:
         node = running.nodes[0]
         state = node.listener_state
-        state.connection_limit = FEWEST_CONNECTIONS
-        calls = [_call(running) for _ in range(FEWEST_CONNECTIONS)]
+        state.connection_limit = MIN_CONNECTION_LIMIT
+        calls = [_call(running) for _ in range(MIN_CONNECTION_LIMIT)]
         await until(lambda: len(one.seen) == len(calls))
         assert node.ready, "a busy gateway is ready"
         waiting = _call(running)
@@ -218,12 +218,12 @@
     state.listening = True
     state.open_connections = 160
     assert state.ready
-    assert not state.has_place
-    state.block(BlockCause.CONNECTIONS)
+    assert not state.has_capacity
+    state.mark_blocked(BlockCause.CONNECTIONS)
     state.open_connections = 159
-    assert not state.has_place, "some places have to be free"
+    assert not state.has_capacity, "some places have to be free"
     state.open_connections = 149
-    assert state.has_place
+    assert state.has_capacity
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_callers_connection.py
+++ b/tests/platform/test_callers_connection.py
@@ -104,7 +104,7 @@
         # Bytes arrive, and before the loop turns the drain looks for resting connections.
         callers.connections()[0].data_received(f"GET /safe/x HTTP/1.1\r\n{HEAD}\r\n".encode())
         assert callers.in_flight == 1
-        callers.close_resting(-1.0)
+        callers.close_idle_connections(-1.0)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
         assert len(one.seen) == 1
--- a/tests/platform/test_settings_watcher.py
+++ b/tests/platform/test_settings_watcher.py
@@ -45,11 +45,11 @@
 def test_a_change_is_taken_up_once(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     taken = Taken(path)
-    taken.watcher.look()
+    taken.watcher.reload_if_changed()
     assert taken.settings == []
     path.write_text(TEXT.replace("50.0", "70.0"))
-    taken.watcher.look()
-    taken.watcher.look()
+    taken.watcher.reload_if_changed()
+    taken.watcher.reload_if_changed()
     assert [item.bounds.retry_allowance for item in taken.settings] == [70.0]
 
 
@@ -58,9 +58,9 @@
     path = tmp_path / "node.toml"
     taken = Taken(path)
     path.write_text(text)
-    taken.watcher.look()
+    taken.watcher.reload_if_changed()
     path.unlink()
-    taken.watcher.look()
+    taken.watcher.reload_if_changed()
     assert taken.settings == []
 
 
@@ -72,7 +72,7 @@
     log = DecisionLog(BoundedOutput(), "n")
     watcher = SettingsWatcher(path, load_node_settings(path).ok, log, taken.settings.append)
     path.write_text(TEXT.replace("127.0.0.1:5", "127.0.0.1:6"))
-    watcher.look()
+    watcher.reload_if_changed()
     assert '"waits_for_next_start": ["store"]' in capfd.readouterr().out
 
 
@@ -84,7 +84,7 @@
         assert node.services.try_spend_repeat("plain")
         left = node.services.budget("plain").remaining(clock.now(), 1)
         bounds = msgspec.structs.replace(node._settings.bounds, retry_allowance=50.0)
-        node.take_settings(msgspec.structs.replace(node._settings, bounds=bounds))
+        node.apply_settings(msgspec.structs.replace(node._settings, bounds=bounds))
         more = node.services.budget("plain").remaining(clock.now(), 1)
         assert more == pytest.approx(left + SAFETY_FACTOR * 10.0)
         assert (await running.call("/safe/x", method="GET")).status == 200
@@ -95,7 +95,7 @@
     async with world(configuration(1, [route("safe", "safe", "plain")]), served) as running:
         node = running.nodes[0]
         limits = NodeLimitSettings(file_descriptors=600, memory_mb=300)
-        node.take_settings(msgspec.structs.replace(node._settings, limits=limits))
+        node.apply_settings(msgspec.structs.replace(node._settings, limits=limits))
         assert node.listener_state.connection_limit == 200
 
 
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -35,7 +35,7 @@
 from corkcrank.links.platform_ports import PieceOutcome
 from corkcrank.load.loopback import loopback_address
 from corkcrank.node.peers.peer_protocol import PIECES_PATH, StageAnswer, StageWork
-from corkcrank.node.process.node_process import _watch_signals
+from corkcrank.node.process.node_process import _first_stop_signal
 from corkcrank.node.streams.stream_answer import StreamAnswer
 
 GRACE = 1.6
@@ -90,7 +90,7 @@
 
         def give_up_now(answer: StreamAnswer) -> None:
             if answer._call.first_byte_at is None:
-                open_calls.end_unanswered()
+                open_calls.abandon_unanswered()
             original(answer)
 
         monkeypatch.setattr(StreamAnswer, "_note_pause", give_up_now)
@@ -313,7 +313,7 @@
     loop = asyncio.get_running_loop()
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
     try:
-        signalled = _watch_signals(loop)
+        signalled = _first_stop_signal(loop)
         sent_at = clock.now()
         os.kill(os.getpid(), signal.SIGTERM)
         while clock.now() < sent_at + STALL_SECONDS:
--- a/tests/soak/node_program.py
+++ b/tests/soak/node_program.py
@@ -11,7 +11,7 @@
 def main() -> None:
     """Serve as the program does; signals are handled before anything else is imported."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, program._end_before_serving)
+    signal.signal(signal.SIGTERM, program._exit_before_serving)
     from corkcrank.contracts.node_settings import NodeProcessSettings
 
     def behind_link(settings: NodeProcessSettings) -> list[str]:
