--- a/benchmarks/test_bounds.py
+++ b/benchmarks/test_bounds.py
@@ -82,7 +82,7 @@
 def test_claims_of_one_gateway_share_transactions() -> None:
     async def write_all() -> ClaimWriter:
         writer = ClaimWriter(CountingTable())
-        await asyncio.gather(*(writer.write(f"k{number}", 0, "v") for number in range(CLAIMS)))
+        await asyncio.gather(*(writer.write_row(f"k{number}", 0, "v") for number in range(CLAIMS)))
         return writer
 
     writer = asyncio.run(write_all())
--- a/src/corkcrank/controller/program.py
+++ b/src/corkcrank/controller/program.py
@@ -11,7 +11,7 @@
 from corkcrank.controller.planning import Planner
 from corkcrank.controller.routes import MAXIMUM_INTENT_BYTES, OperatorRoutes
 from corkcrank.controller.zone_holder import ZoneHolder
-from corkcrank.links.logs import PartLog, configure_logs
+from corkcrank.links.logs import ComponentLog, configure_logs
 from corkcrank.machines.daemon import (
     MemberDump,
     cancel_all,
@@ -53,7 +53,7 @@
         self.agent.before_heartbeat = self.holder.poll_workers
         self.agent.reports = self.holder.reports
         self.planner = Planner(table)
-        self._log = PartLog(ROLE)
+        self._log = ComponentLog(ROLE)
         self._runner: web.AppRunner | None = None
         self._loops: list[asyncio.Task[None]] = []
 
--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -12,8 +12,8 @@
 from corkcrank.contracts import clock, table_keys
 from corkcrank.contracts.identifiers import Address
 from corkcrank.contracts.messages import LoadReport, MachineList, ModelOrder, WorkerEntry
-from corkcrank.links.back_ends import ORDER_SECONDS, BackEndClient
-from corkcrank.links.logs import PartLog
+from corkcrank.links.back_ends import ORDER_TIMEOUT_SECONDS, BackEndClient
+from corkcrank.links.logs import ComponentLog
 from corkcrank.links.peer_client import PeerClient
 from corkcrank.links.peer_codec import (
     PeerDecodeError,
@@ -53,7 +53,7 @@
         self._table = table
         self._peers = peers
         self._back_ends = back_ends
-        self._log = PartLog("zone")
+        self._log = ComponentLog("zone")
         self._wake = asyncio.Event()
         self._own_reports: tuple[LoadReport, ...] = ()
         self._other_holders: dict[str, LeaseRow] = {}
@@ -76,7 +76,7 @@
         """Take a member's heartbeat and answer it."""
         heartbeat = decode_heartbeat(data)
         if heartbeat.zone == self.zone:
-            self.state.hear_heartbeat(heartbeat, clock.now())
+            self.state.apply_heartbeat(heartbeat, clock.now())
             self.member_versions[heartbeat.member] = heartbeat.configuration_version
             self._agent.view.adoption.record_announced_version(heartbeat.configuration_version)
             self.wake_if_newer()
@@ -180,9 +180,9 @@
                 return
 
     async def _read_list(self) -> None:
-        listed = await self._back_ends.machine_list(self._agent.settings.platform.machine_list)
+        listed = await self._back_ends.read_machine_list(self._agent.settings.platform.machine_list)
         if isinstance(listed, MachineList):
-            self.state.hear_list(listed)
+            self.state.apply_machine_list(listed)
 
     async def _pull_summaries(self) -> None:
         holders = [(zone, row) for zone, row in self._other_holders.items() if row.address]
@@ -201,12 +201,12 @@
             return
         if digest.directory is not None:
             self._remote_tables[zone] = KnownTables(digest.directory, digest.directory_hash)
-        self.state.hear_remote(msgspec.structs.replace(digest, directory=None))
+        self.state.apply_remote_digest(msgspec.structs.replace(digest, directory=None))
         self._agent.view.adoption.record_announced_version(digest.configuration_version)
 
     def _publish(self) -> None:
         now = clock.now()
-        self.state.forget_silent(now)
+        self.state.prune_silent(now)
         version = self._agent.view.adoption.announced_version
         digest = self.state.make_digest(self.lease.fence, version)
         self.last_digest_at = now
@@ -230,17 +230,19 @@
     async def _send_order(self, address: Address, order: ModelOrder) -> None:
         # Checked in the same step as the send, with no await between: a pause here is
         # covered by the bound on the flight, which the next holder waits out.
-        if not self.lease.holds(clock.now(), margin=ORDER_SECONDS):
+        if not self.lease.holds(clock.now(), margin=ORDER_TIMEOUT_SECONDS):
             return
         if order.fence != self.lease.fence:
             return
         self.orders_sent += 1
-        await self._back_ends.order(address, order)
+        await self._back_ends.send_order(address, order)
 
     async def poll_workers(self) -> None:
         """Poll this controller's share of the zone's workers, for the next heartbeat."""
         share = self._shares.share(self._agent.view.tables.membership.members, self._zone_workers())
-        outcomes = await asyncio.gather(*(self._back_ends.load(worker.address) for worker in share))
+        outcomes = await asyncio.gather(
+            *(self._back_ends.read_load_report(worker.address) for worker in share)
+        )
         self._own_reports = tuple(
             outcome for outcome in outcomes if isinstance(outcome, LoadReport)
         )
--- a/src/corkcrank/gateway/access_control.py
+++ b/src/corkcrank/gateway/access_control.py
@@ -14,7 +14,7 @@
 from corkcrank.gateway import metrics
 from corkcrank.gateway.quota import TenantQuotas
 from corkcrank.gateway.request_reader import read_api_key
-from corkcrank.links.logs import PartLog
+from corkcrank.links.logs import ComponentLog
 from corkcrank.machines.member_view import MemberView
 
 UNKNOWN_RANK = -1
@@ -51,7 +51,7 @@
         self._view = view
         self._life = life
         self._quotas = TenantQuotas()
-        self._log = PartLog("request")
+        self._log = ComponentLog("request")
         self.in_flight = 0
 
     async def handle(
--- a/src/corkcrank/gateway/caller_routes.py
+++ b/src/corkcrank/gateway/caller_routes.py
@@ -14,7 +14,7 @@
 from corkcrank.gateway.pipeline_handler import PipelineHandler
 from corkcrank.gateway.plain_handler import PlainHandler
 from corkcrank.gateway.responses import failure_response
-from corkcrank.links.logs import PartLog
+from corkcrank.links.logs import ComponentLog
 from corkcrank.machines.member_view import MemberView
 
 
@@ -35,7 +35,7 @@
         self._access = AccessControl(view, life)
         self._pipelines = PipelineHandler(self._access, dispatcher, settings)
         self._plain = PlainHandler(self._access, dispatcher, claims, settings)
-        self._log = PartLog("request")
+        self._log = ComponentLog("request")
 
     def add_to(self, application: web.Application) -> None:
         """Add the routes to an application."""
--- a/src/corkcrank/gateway/claim_store.py
+++ b/src/corkcrank/gateway/claim_store.py
@@ -34,7 +34,7 @@
         self, key: str, row: ClaimRow, expected_revision: int
     ) -> InsertCommitted | RowSeen | TableUnanswered:
         """Insert a claim if the table still holds ``expected_revision``."""
-        outcome = await self.writer.write(key, expected_revision, _encode(row))
+        outcome = await self.writer.write_row(key, expected_revision, _encode(row))
         match outcome:
             case Committed():
                 return InsertCommitted()
@@ -67,7 +67,7 @@
         if seen.row == row:
             return True
         # An absent row is written too: it stops an insert of ours that is still on its way.
-        outcome = await self.writer.write(key, seen.revision, _encode(row))
+        outcome = await self.writer.write_row(key, seen.revision, _encode(row))
         return isinstance(outcome, Committed)
 
 
--- a/src/corkcrank/gateway/pipeline_run.py
+++ b/src/corkcrank/gateway/pipeline_run.py
@@ -238,7 +238,7 @@
             try:
                 await self._read_stream(stage, service, call, address, assembler)
             except TooLateError:
-                await self.dispatcher.back_ends.cancel(address, send.attempt)
+                await self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
                 return AttemptTooLate(send.attempt)
             except BackEndError as error:
                 if not error.sent and assembler.offset == first_offset:
@@ -246,12 +246,14 @@
                 return AttemptBroken(send.attempt)
             except (TimeoutError, StreamGapError):
                 metrics.DROPPED_ANSWERS.labels(stage.service).inc()
-                await self.dispatcher.back_ends.cancel(address, send.attempt)
+                await self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
                 return AttemptBroken(send.attempt)
             except (asyncio.CancelledError, ConnectionError):
                 # The caller has gone: free the engine's slot before leaving. Its close shows
                 # as a cancellation, or as an error of the write of a token that came first.
-                await asyncio.shield(self.dispatcher.back_ends.cancel(address, send.attempt))
+                await asyncio.shield(
+                    self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
+                )
                 raise
         return AttemptAnswered(send.attempt)
 
--- a/src/corkcrank/gateway/plain_run.py
+++ b/src/corkcrank/gateway/plain_run.py
@@ -29,7 +29,7 @@
 from corkcrank.gateway.answer_checks import answers_plain
 from corkcrank.gateway.claim_store import ClaimStore
 from corkcrank.gateway.dispatch import Dispatcher
-from corkcrank.links.back_ends import PLAIN_RESULT_SECONDS, Broken, NotSent
+from corkcrank.links.back_ends import PLAIN_RESULT_TIMEOUT_SECONDS, PossiblySent, NotSent
 
 READ_PAUSE_SECONDS = 0.1
 """Pause before a claim's row is read again."""
@@ -109,14 +109,18 @@
 
     async def _send(self) -> ClaimEvent:
         outcome = await send_plain(
-            self._request, self._process.attempt, self._dispatcher, PLAIN_RESULT_SECONDS, fresh=True
+            self._request,
+            self._process.attempt,
+            self._dispatcher,
+            PLAIN_RESULT_TIMEOUT_SECONDS,
+            fresh=True,
         )
         match outcome:
             case PlainAnswer(body=body):
                 return CallAnswered(body)
             case NotSent():
                 return CallNotSent()
-            case Broken():
+            case PossiblySent():
                 return CallInterrupted()
 
 
@@ -127,7 +131,7 @@
     timeout: float,
     *,
     fresh: bool,
-) -> PlainAnswer | NotSent | Broken:
+) -> PlainAnswer | NotSent | PossiblySent:
     """Send one call to a chosen back end and check its answer."""
     service = request.service.name
     worker = dispatcher.choose(service, frozenset(), affinity="")
@@ -141,7 +145,7 @@
     if isinstance(outcome, PlainAnswer):
         if not answers_plain(call, outcome):
             metrics.DROPPED_ANSWERS.labels(service).inc()
-            return Broken("the answer belongs to another call")
+            return PossiblySent("the answer belongs to another call")
         cost = outcome.busy_seconds * request.service.cost_per_second
         metrics.STAGE_COST.labels(service).inc(cost)
         return outcome
--- a/src/corkcrank/gateway/program.py
+++ b/src/corkcrank/gateway/program.py
@@ -13,7 +13,7 @@
 from corkcrank.gateway.caller_routes import CallerRoutes
 from corkcrank.gateway.claim_store import ClaimStore
 from corkcrank.gateway.dispatch import Dispatcher
-from corkcrank.links.logs import PartLog, configure_logs
+from corkcrank.links.logs import ComponentLog, configure_logs
 from corkcrank.machines.daemon import (
     MemberDump,
     WorkerDump,
@@ -76,7 +76,7 @@
         self.routes = CallerRoutes(
             self.agent.view, self.dispatcher, self.claims, self.life, settings
         )
-        self._log = PartLog(ROLE)
+        self._log = ComponentLog(ROLE)
         self._peer_runner: web.AppRunner | None = None
         self._caller_runner: web.AppRunner | None = None
         self._loops: list[asyncio.Task[None]] = []
--- a/src/corkcrank/links/back_ends.py
+++ b/src/corkcrank/links/back_ends.py
@@ -24,19 +24,19 @@
 )
 from corkcrank.links.traffic import UNUSED_HEADERS, ControlTraffic
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """Timeout for opening a connection."""
 
-POLL_SECONDS = 0.8
+POLL_TIMEOUT_SECONDS = 0.8
 """Timeout for reading a load report or the machine list."""
 
-ORDER_SECONDS = 0.8
+ORDER_TIMEOUT_SECONDS = 0.8
 """Timeout for an order; must stay below :data:`LONGEST_FLIGHT_SECONDS` of leases."""
 
 LOAD_REPORT_BYTES = 130
 """Assumed size of a load report in the count of control traffic."""
 
-PLAIN_RESULT_SECONDS = 60.0
+PLAIN_RESULT_TIMEOUT_SECONDS = 60.0
 """Timeout for a plain service; the wait continues in the background after the deadline."""
 
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class PossiblySent:
     """A call of which bytes may have been sent, without a complete answer."""
 
     reason: str
@@ -89,13 +89,13 @@
 
     async def call_stage(
         self, address: str, call: StageCall, timeout: float
-    ) -> StageAnswer | NotSent | Broken:
+    ) -> StageAnswer | NotSent | PossiblySent:
         """Call an encoder, retriever or reranker; ``timeout`` is in seconds."""
         return await _post(self._session, address, "/v1/stage", call, StageAnswer, timeout)
 
     async def call_plain(
         self, address: str, call: PlainCall, timeout: float, fresh: bool
-    ) -> PlainAnswer | NotSent | Broken:
+    ) -> PlainAnswer | NotSent | PossiblySent:
         """Call a plain service; ``fresh`` forbids reuse of a kept-alive connection."""
         session = self._fresh_session if fresh else self._session
         return await _post(session, address, "/v1/call", call, PlainAnswer, timeout)
@@ -121,39 +121,45 @@
         except (TimeoutError, aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
             raise BackEndError(type(error).__name__, sent=True) from error
 
-    async def cancel(self, address: str, attempt: str) -> None:
+    async def cancel_attempt(self, address: str, attempt: str) -> None:
         """Ask an engine to cancel ``attempt``; failures are ignored."""
         try:
             async with self._session.post(
-                f"http://{address}/v1/cancel/{attempt}", timeout=_timeout(POLL_SECONDS)
+                f"http://{address}/v1/cancel/{attempt}", timeout=_timeout(POLL_TIMEOUT_SECONDS)
             ) as response:
                 await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError):
             return
 
-    async def load(self, address: str) -> LoadReport | NotSent | Broken:
+    async def read_load_report(self, address: str) -> LoadReport | NotSent | PossiblySent:
         """Read a back end's load report."""
         report = await _get(self._session, f"http://{address}/v1/load", LoadReport)
-        self._traffic.count(0, LOAD_REPORT_BYTES)
+        self._traffic.record_exchange(0, LOAD_REPORT_BYTES)
         return report
 
-    async def order(self, address: str, order: ModelOrder) -> LoadReport | NotSent | Broken:
+    async def send_order(
+        self, address: str, order: ModelOrder
+    ) -> LoadReport | NotSent | PossiblySent:
         """Send a fenced order; returns the actual state of the back end."""
-        return await _post(self._session, address, "/v1/orders", order, LoadReport, ORDER_SECONDS)
+        return await _post(
+            self._session, address, "/v1/orders", order, LoadReport, ORDER_TIMEOUT_SECONDS
+        )
 
-    async def machine_list(self, address: str) -> MachineList | None:
+    async def read_machine_list(self, address: str) -> MachineList | None:
         """Read the platform's machine list; an unchanged list is not transferred again."""
         headers = {"If-None-Match": self._machine_list_tag} if self._machine_list_tag else {}
         try:
             async with self._session.get(
-                f"http://{address}/machines", headers=headers, timeout=_timeout(POLL_SECONDS)
+                f"http://{address}/machines",
+                headers=headers,
+                timeout=_timeout(POLL_TIMEOUT_SECONDS),
             ) as response:
                 if response.status == 304:
                     return self._machine_list
                 if response.status != 200:
                     return None
                 content = await response.read()
-                self._traffic.count(0, len(content))
+                self._traffic.record_exchange(0, len(content))
                 decoded = msgspec.json.decode(content, type=MachineList)
                 self._machine_list_tag = response.headers.get("ETag", "")
         except (TimeoutError, aiohttp.ClientError, OSError, msgspec.DecodeError):
@@ -163,7 +169,7 @@
 
 
 def _timeout(total: float) -> aiohttp.ClientTimeout:
-    return aiohttp.ClientTimeout(total=total, sock_connect=min(total, CONNECT_SECONDS))
+    return aiohttp.ClientTimeout(total=total, sock_connect=min(total, CONNECT_TIMEOUT_SECONDS))
 
 
 async def _post(
@@ -173,7 +179,7 @@
     body: msgspec.Struct,
     answer_type: type[_AnswerT],
     timeout: float,
-) -> _AnswerT | NotSent | Broken:
+) -> _AnswerT | NotSent | PossiblySent:
     try:
         async with session.post(
             f"http://{address}{path}", data=msgspec.json.encode(body), timeout=_timeout(timeout)
@@ -183,24 +189,24 @@
                 # The protocol allows status 503 only before the back end starts any work.
                 return NotSent("refused by the back end")
             if response.status != 200:
-                return Broken(f"status {response.status}")
+                return PossiblySent(f"status {response.status}")
             return msgspec.json.decode(content, type=answer_type)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         return NotSent(type(error).__name__)
     except (TimeoutError, aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
-        return Broken(type(error).__name__)
+        return PossiblySent(type(error).__name__)
 
 
 async def _get(
     session: aiohttp.ClientSession, url: str, answer_type: type[_AnswerT]
-) -> _AnswerT | NotSent | Broken:
+) -> _AnswerT | NotSent | PossiblySent:
     try:
-        async with session.get(url, timeout=_timeout(POLL_SECONDS)) as response:
+        async with session.get(url, timeout=_timeout(POLL_TIMEOUT_SECONDS)) as response:
             content = await response.read()
             if response.status != 200:
-                return Broken(f"status {response.status}")
+                return PossiblySent(f"status {response.status}")
             return msgspec.json.decode(content, type=answer_type)
     except aiohttp.ClientConnectorError as error:
         return NotSent(type(error).__name__)
     except (TimeoutError, aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
-        return Broken(type(error).__name__)
+        return PossiblySent(type(error).__name__)
--- a/src/corkcrank/links/claim_writer.py
+++ b/src/corkcrank/links/claim_writer.py
@@ -18,7 +18,7 @@
     Write,
 )
 
-MAXIMUM_BATCH = 64
+MAX_BATCH_ROWS = 64
 """Maximum number of rows in one transaction."""
 
 
@@ -39,7 +39,7 @@
         self.transactions = 0
         self.writes = 0
 
-    async def write(
+    async def write_row(
         self, key: str, expected_revision: int, value: str
     ) -> Committed | Conflicted | Unanswered:
         """Write one row if it still has revision ``expected_revision``."""
@@ -65,7 +65,7 @@
         keys: set[str] = set()
         remaining: list[_PendingWrite] = []
         for pending in self._queue:
-            if len(batch) < MAXIMUM_BATCH and pending.write.key not in keys:
+            if len(batch) < MAX_BATCH_ROWS and pending.write.key not in keys:
                 batch.append(pending)
                 keys.add(pending.write.key)
             else:
--- a/src/corkcrank/links/closed_connections.py
+++ b/src/corkcrank/links/closed_connections.py
@@ -32,7 +32,7 @@
     return bool(state) and state[0] in (TCP_CLOSE, TCP_CLOSE_WAIT)
 
 
-def close_by_reset(transport: asyncio.BaseTransport | None, reset: bool) -> None:
+def set_reset_on_close(transport: asyncio.BaseTransport | None, reset: bool) -> None:
     """Set whether closing a connection, for any cause, sends a reset instead of a FIN."""
     if transport is None or transport.is_closing():
         return
--- a/src/corkcrank/links/datagrams.py
+++ b/src/corkcrank/links/datagrams.py
@@ -6,17 +6,17 @@
 from contextlib import suppress
 from typing import Protocol
 
-MAXIMUM_DATAGRAM_BYTES = 8_192
+MAX_DATAGRAM_BYTES = 8_192
 """Maximum message size; longer messages are not sent. Heartbeats are far smaller."""
 
-READ_SECONDS = 0.04
+READ_INTERVAL_SECONDS = 0.04
 """Interval between reads of the socket: a sixth of the minimum interval between two heartbeats
 of one member, and 1/25 of the wait for the answer to a probe."""
 
-MOST_READ_TOGETHER = 256
+MAX_DATAGRAMS_PER_READ = 256
 """Maximum number of datagrams handled before other tasks run; they take about 2 ms."""
 
-GROUP_MEMBERS = 8
+MAX_GROUP_MEMBERS = 8
 """Maximum number of datagrams sent at once: a slow link drops longer bursts."""
 
 
@@ -48,7 +48,7 @@
 
     def send(self, data: bytes, address: str) -> None:
         """Send one datagram without waiting; drops it if the send buffer is full."""
-        if self._socket is None or len(data) > MAXIMUM_DATAGRAM_BYTES:
+        if self._socket is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         host, port = address.rsplit(":", 1)
         # The member may have exited, so that nothing listens at its address.
@@ -66,10 +66,10 @@
         if self._socket is None:
             return
         # Scheduled first, so that an error in a message handler does not end the reads.
-        asyncio.get_running_loop().call_later(READ_SECONDS, self._read)
-        for _ in range(MOST_READ_TOGETHER):
+        asyncio.get_running_loop().call_later(READ_INTERVAL_SECONDS, self._read)
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data = self._socket.recv(MAXIMUM_DATAGRAM_BYTES)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
@@ -80,7 +80,7 @@
                 return
 
 
-async def send_spread(
+async def send_in_groups(
     link: DatagramSender, message: Callable[[], bytes], addresses: Sequence[str], seconds: float
 ) -> None:
     """Send a message to every address, in groups that are spread evenly over ``seconds``.
@@ -88,7 +88,7 @@
     The message is built again for each group, so that the last group gets current data.
     Returns after ``seconds``, also if ``addresses`` is empty.
     """
-    groups = max(1, -(-len(addresses) // GROUP_MEMBERS))
+    groups = max(1, -(-len(addresses) // MAX_GROUP_MEMBERS))
     for number in range(groups):
         data = message()
         for address in addresses[number::groups]:
--- a/src/corkcrank/links/decision_log.py
+++ b/src/corkcrank/links/decision_log.py
@@ -16,13 +16,13 @@
 
 from corkcrank.contracts import clock
 
-BUFFER_BYTES = 256 * 1024
+MAX_BUFFER_BYTES = 256 * 1024
 """Maximum number of bytes buffered for standard output."""
 
-LINES_A_SECOND = 200.0
+MAX_LINES_PER_SECOND = 200.0
 """Maximum average rate of one kind of line."""
 
-LINE_BURST = 400.0
+MAX_BURST_LINES = 400.0
 """Maximum number of lines of one kind that may be written at once."""
 
 
@@ -41,16 +41,16 @@
     MACHINE_SUSPENDED = "Process: resumed after its machine was suspended."
     CONFIGURATION_ADOPTED = "Configuration: adopted."
     CONFIGURATION_UNREADABLE = "Configuration: unreadable."
-    WORKERS_TAKEN = "Workers: list applied."
+    WORKER_LIST_APPLIED = "Workers: list applied."
     WORKER_CHANGED = "Workers: entry changed."
     DOCUMENT_UNREADABLE = "Workers: unreadable entry or report."
     REPORT_OUTDATED = "Workers: report of another incarnation."
-    WORKER_LAPSED = "Workers: entry gone after an outage, held back."
+    WORKER_REMOVAL_DEFERRED = "Workers: entry gone after an outage, held back."
     ZONE_EVACUATED = "Workers: zone evacuated, nothing more goes there."
-    ZONE_TAKEN_BACK = "Workers: zone taken back."
+    ZONE_RESTORED = "Workers: zone taken back."
     LIMIT_GRANTED = "Workers: limited one given a call."
-    LIMIT_HELD_BACK = "Workers: not given a call, at their limit."
-    RATE_LIMIT_HEARD = "Workers: rate limit heard."
+    LIMIT_DEFERRED = "Workers: not given a call, at their limit."
+    RATE_LIMIT_RECEIVED = "Workers: rate limit heard."
     RATE_LIMIT_UNREADABLE = "Workers: rate limit unreadable, passed over."
     HEADER_UNKNOWN = "Workers: answer with an unknown header."
     CAPACITY_CHANGED = "Service: capacity changed."
@@ -61,22 +61,22 @@
     WORKER_ENDED = "Workers: ended with a call in progress."
     REQUEST_QUARANTINED = "Request: quarantined, workers end under it."
     REQUEST_AWAITS_VERDICT = "Request: waits for its verdict."
-    REQUEST_FREED = "Request: verdict taken back."
+    REQUEST_VERDICT_REVOKED = "Request: verdict taken back."
     EVIDENCE_INCOMPLETE = (
         "Workers: crash evidence incomplete, a gateway with possible calls is unreachable."
     )
     CRASH_REPORT_UNREADABLE = "Members: crash report unreadable."
-    REQUEST_TRIED = "Request: tried on probation."
+    REQUEST_ON_PROBATION = "Request: tried on probation."
     REQUEST_CLEARED = "Request: ended well, cleared."
     REQUEST_RELEASED = "Request: released by an operator."
-    STORE_LOST = "Store: lost."
-    STORE_REGAINED = "Store: reachable again."
+    STORE_UNREACHABLE = "Store: lost."
+    STORE_REACHABLE = "Store: reachable again."
     MEMBER_JOINED = "Members: joined."
     MEMBER_SUSPECTED = "Members: suspected."
-    MEMBER_REGAINED = "Members: reachable again."
+    MEMBER_REACHABLE = "Members: reachable again."
     PULL_FAILED = "Members: pull from a member failed."
     CONNECTIONS_CLOSED = "Callers: connections closed for new ones."
-    CALLERS_LEFT = "Callers: left before they were accepted."
+    CALLERS_DISCONNECTED = "Callers: left before they were accepted."
     CALL_REFUSED = "Call: refused."
     HEADERS_DROPPED = "Call: reserved headers dropped."
     CALL_ADMITTED_STOPPING = "Call: admitted while stopping."
@@ -86,9 +86,9 @@
     ENGINE_GRANTED = "Call: engine granted."
     FIRST_EVENT = "Call: first event."
     STREAM_ENDED = "Call: stream ended."
-    STREAM_MOVED = "Call: stream taken up at another worker."
+    STREAM_RESUMED = "Call: stream taken up at another worker."
     STAGE_PLACED = "Stage: placed."
-    STAGES_MADE_AGAIN = "Stage: all made again, inputs are gone."
+    STAGES_RERUN = "Stage: all made again, inputs are gone."
     STAGE_ENDED = "Stage: ended."
     ROOM_REPORTED = "Stage: worker reported its room."
     BATCH_ENDED = "Batch: ended."
@@ -99,7 +99,7 @@
 class BoundedOutput:
     """Buffered output to a file descriptor that never blocks the event loop."""
 
-    def __init__(self, descriptor: int = 1, limit: int = BUFFER_BYTES) -> None:
+    def __init__(self, descriptor: int = 1, limit: int = MAX_BUFFER_BYTES) -> None:
         self._descriptor = descriptor
         self._limit = limit
         self._lines: deque[bytes] = deque()
@@ -163,13 +163,13 @@
     __slots__ = ("left_out", "tokens", "updated_at")
 
     def __init__(self, now: float) -> None:
-        self.tokens = LINE_BURST
+        self.tokens = MAX_BURST_LINES
         self.updated_at = now
         self.left_out = 0
 
     def try_take(self, now: float) -> bool:
-        gained = (now - self.updated_at) * LINES_A_SECOND
-        self.tokens = min(LINE_BURST, self.tokens + gained)
+        gained = (now - self.updated_at) * MAX_LINES_PER_SECOND
+        self.tokens = min(MAX_BURST_LINES, self.tokens + gained)
         self.updated_at = now
         if self.tokens < 1.0:
             self.left_out += 1
--- a/src/corkcrank/links/http_table.py
+++ b/src/corkcrank/links/http_table.py
@@ -58,7 +58,7 @@
                 self._base + path, data=data, timeout=self._timeout
             ) as response:
                 content = await response.read()
-                self._traffic.count(len(data), len(content))
+                self._traffic.record_exchange(len(data), len(content))
                 if response.status != 200:
                     return Unanswered(f"status {response.status}")
                 return content
--- a/src/corkcrank/links/logs.py
+++ b/src/corkcrank/links/logs.py
@@ -23,7 +23,7 @@
     structlog.contextvars.bind_contextvars(process=process)
 
 
-class PartLog:
+class ComponentLog:
     """Log of one component; every sentence starts with the component's name."""
 
     def __init__(self, component: str) -> None:
--- a/src/corkcrank/links/peer_client.py
+++ b/src/corkcrank/links/peer_client.py
@@ -13,7 +13,7 @@
 from corkcrank.links.traffic import UNUSED_HEADERS, ControlTraffic
 from corkcrank.zones.peer_messages import DigestReply, Heartbeat, HeartbeatReply
 
-PEER_SECONDS = 0.8
+PEER_TIMEOUT_SECONDS = 0.8
 """Timeout for a request to a peer."""
 
 
@@ -24,7 +24,7 @@
         self._traffic = traffic
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=15.0),
-            timeout=aiohttp.ClientTimeout(total=PEER_SECONDS),
+            timeout=aiohttp.ClientTimeout(total=PEER_TIMEOUT_SECONDS),
             skip_auto_headers=UNUSED_HEADERS,
         )
 
@@ -32,7 +32,7 @@
         """Close every connection."""
         await self._session.close()
 
-    async def heartbeat(self, address: Address, heartbeat: Heartbeat) -> HeartbeatReply | None:
+    async def push_heartbeat(self, address: Address, heartbeat: Heartbeat) -> HeartbeatReply | None:
         """Send a heartbeat."""
         body = await self._call("POST", address, "/peer/heartbeat", encode_heartbeat(heartbeat))
         try:
@@ -56,7 +56,7 @@
         """Request from a zone's holder the summary that it sends to other zones."""
         return await self._call("GET", address, f"/peer/summary/{known_directory}", b"")
 
-    async def configuration(self, address: Address, version: int) -> Configuration | None:
+    async def pull_configuration(self, address: Address, version: int) -> Configuration | None:
         """Request a configuration of at least ``version``."""
         body = await self._call("GET", address, f"/peer/configuration/{version}", b"")
         try:
@@ -70,7 +70,7 @@
                 method, f"http://{address}{path}", data=body or None
             ) as response:
                 content = await response.read()
-                self._traffic.count(len(body), len(content))
+                self._traffic.record_exchange(len(body), len(content))
                 return content if response.status == 200 else None
         except (TimeoutError, aiohttp.ClientError, OSError):
             return None
--- a/src/corkcrank/links/peer_codec.py
+++ b/src/corkcrank/links/peer_codec.py
@@ -25,13 +25,13 @@
 _ArgumentsT = ParamSpec("_ArgumentsT")
 _MessageT = TypeVar("_MessageT")
 
-MAXIMUM_COUNT = 65_535
+MAX_COUNT = 65_535
 """Maximum value of a load counter on the wire."""
 
 CHECKSUM_BYTES = 8
 """Length of the checksum before each message."""
 
-TRAVERSAL_WORDS = 1 << 20
+MAX_TRAVERSAL_WORDS = 1 << 20
 """Maximum number of words that decoding one message may traverse."""
 
 
@@ -55,7 +55,7 @@
     if not packed or xxhash.xxh3_64_digest(packed) != checksum:
         raise PeerDecodeError("the checksum does not match")
     try:
-        return struct.from_bytes_packed(packed, traversal_limit_in_words=TRAVERSAL_WORDS)
+        return struct.from_bytes_packed(packed, traversal_limit_in_words=MAX_TRAVERSAL_WORDS)
     except (capnp.KjException, ValueError) as error:
         raise PeerDecodeError(str(error)) from error
 
@@ -76,7 +76,7 @@
 
 
 def _clip(count: int) -> int:
-    return max(0, min(MAXIMUM_COUNT, count))
+    return max(0, min(MAX_COUNT, count))
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
--- a/src/corkcrank/links/platform_ports.py
+++ b/src/corkcrank/links/platform_ports.py
@@ -173,10 +173,10 @@
     rows: tuple[StoreRow, ...]
     revision: int
     store_time: float = 0.0
-    nameless: tuple[Unreadable, ...] = ()
+    unreadable_keys: tuple[Unreadable, ...] = ()
 
 
-class StoreTrouble(StrEnum):
+class StoreFailureReason(StrEnum):
     """Reason why the store returned no rows."""
 
     REFUSED = "refused"
@@ -189,7 +189,7 @@
 class StoreFailure:
     """A failed store request; an unanswered write may still take effect."""
 
-    trouble: StoreTrouble
+    failure_reason: StoreFailureReason
     detail: str = ""
 
 
--- a/src/corkcrank/links/traffic.py
+++ b/src/corkcrank/links/traffic.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-HEAD_BYTES = 300
+HEAD_ALLOWANCE_BYTES = 300
 """Upper estimate for the two HTTP heads of one exchange, verified by a benchmark."""
 
 UNUSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding")
@@ -16,7 +16,7 @@
     exchanges: int = 0
     body_bytes: int = 0
 
-    def count(self, request_bytes: int, answer_bytes: int) -> None:
+    def record_exchange(self, request_bytes: int, answer_bytes: int) -> None:
         """Count one exchange, as client or as server."""
         self.exchanges += 1
         self.body_bytes += request_bytes + answer_bytes
@@ -24,4 +24,4 @@
     @property
     def total_bytes(self) -> int:
         """Return the bytes of bodies and heads."""
-        return self.body_bytes + HEAD_BYTES * self.exchanges
+        return self.body_bytes + HEAD_ALLOWANCE_BYTES * self.exchanges
--- a/src/corkcrank/machines/entry_reader.py
+++ b/src/corkcrank/machines/entry_reader.py
@@ -34,7 +34,7 @@
 
     def changes(self, answer: StoreRows, since: int) -> list[WorkerChange]:
         """Return the changes in a store's answer that are newer than revision ``since``."""
-        for broken in answer.nameless:
+        for broken in answer.unreadable_keys:
             self.on_unreadable(UnreadableDocument(DocumentKind.ENTRY, "", broken.reason))
         changes = []
         rows = [row for row in answer.rows if row.revision > since]
--- a/src/corkcrank/machines/heartbeat_codec.py
+++ b/src/corkcrank/machines/heartbeat_codec.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from corkcrank.links.datagrams import MAXIMUM_DATAGRAM_BYTES
+from corkcrank.links.datagrams import MAX_DATAGRAM_BYTES
 from corkcrank.machines.heartbeat import Heartbeat
 
 COMPRESSION_LEVEL = 1
@@ -32,7 +32,7 @@
     True
     """
     data = _pack(heartbeat)
-    while len(data) > MAXIMUM_DATAGRAM_BYTES:
+    while len(data) > MAX_DATAGRAM_BYTES:
         shorter = _reduced(heartbeat)
         if shorter == heartbeat:
             break
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -15,7 +15,7 @@
 from corkcrank.contracts.identifiers import Address
 from corkcrank.contracts.messages import LoadReport
 from corkcrank.contracts.settings import Settings
-from corkcrank.links.logs import PartLog
+from corkcrank.links.logs import ComponentLog
 from corkcrank.links.peer_client import PeerClient
 from corkcrank.links.peer_codec import (
     PeerDecodeError,
@@ -33,7 +33,7 @@
     HeartbeatReply,
     KnownTables,
 )
-from corkcrank.zones.zone_state import SHORTEST_INTERVAL_SECONDS
+from corkcrank.zones.zone_state import MIN_HEARTBEAT_INTERVAL_SECONDS
 
 REFRESH_SECONDS = 1.0
 """Interval between reads of the configuration's head."""
@@ -63,14 +63,14 @@
         self.on_digest: Callable[[ZoneDigest], None] = lambda digest: None
         self.before_heartbeat: Callable[[], Awaitable[None]] = _no_operation
         self.reports: Callable[[], tuple[LoadReport, ...]] = lambda: ()
-        self._log = PartLog("member")
+        self._log = ComponentLog("member")
         self._random = random.Random(settings.process.name)
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching = False
         self._relay = DigestRelay(settings.process.name, self.view, peers)
         self._reported_holder = Address("")
         self._next_pull_at = clock.now() + DIGEST_STALE_SECONDS
-        self._interval = SHORTEST_INTERVAL_SECONDS
+        self._interval = MIN_HEARTBEAT_INTERVAL_SECONDS
 
     async def run(self) -> None:
         """Refresh and send heartbeats until cancelled."""
@@ -148,7 +148,7 @@
         if not isinstance(outcome, Unanswered) and outcome.rows[0].value is not None:
             return decode_configuration(outcome.rows[0].value.encode())
         for address in self._peer_addresses(reporter):
-            configuration = await self.peers.configuration(address, version)
+            configuration = await self.peers.pull_configuration(address, version)
             if configuration is not None and configuration.version >= version:
                 return configuration
         return None
@@ -170,7 +170,7 @@
             reports=reports,
         )
         asked_at = clock.now()
-        reply = await self.peers.heartbeat(address, heartbeat)
+        reply = await self.peers.push_heartbeat(address, heartbeat)
         if reply is None:
             return False
         self._reported_holder = reply.holder_address or self._reported_holder
--- a/src/corkcrank/machines/peer_routes.py
+++ b/src/corkcrank/machines/peer_routes.py
@@ -59,7 +59,7 @@
         response = await handler(request)
         if request.path.startswith("/peer/") and isinstance(response, web.Response):
             body = response.body if isinstance(response.body, bytes) else b""
-            self._traffic.count(request.content_length or 0, len(body))
+            self._traffic.record_exchange(request.content_length or 0, len(body))
         return response
 
     async def _receive_heartbeat(self, request: web.Request) -> web.Response:
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -21,7 +21,7 @@
     StoreFailure,
     StoreRows,
     StoreTable,
-    StoreTrouble,
+    StoreFailureReason,
 )
 from corkcrank.machines.entry_reader import EntryReader
 from corkcrank.machines.lapsed_entries import LapsedEntries
@@ -140,7 +140,7 @@
             self._record_call(table, answer)
             if isinstance(answer, StoreFailure):
                 failures += 1
-                if answer.trouble is StoreTrouble.HISTORY_GONE:
+                if answer.failure_reason is StoreFailureReason.HISTORY_GONE:
                     cursor = None
                     failures = 0
                 await asyncio.sleep(self._retry_pause(failures))
@@ -197,7 +197,7 @@
                 self.warming.record_zone_restored(state.zone, now)
             workers = [item for item in self.workers.records() if item.zone == state.zone]
             self._log.write(
-                LogEvent.ZONE_EVACUATED if state.evacuated else LogEvent.ZONE_TAKEN_BACK,
+                LogEvent.ZONE_EVACUATED if state.evacuated else LogEvent.ZONE_RESTORED,
                 zone=state.zone,
                 revision=state.revision,
                 source=source,
@@ -258,7 +258,9 @@
             return False
         deferred = self._lapsed.defer_removal(change, now, complete_before)
         if deferred:
-            self._log.write(LogEvent.WORKER_LAPSED, worker=change.name, revision=change.revision)
+            self._log.write(
+                LogEvent.WORKER_REMOVAL_DEFERRED, worker=change.name, revision=change.revision
+            )
         return deferred
 
     def _apply_confirmed_removals(self) -> None:
@@ -275,7 +277,7 @@
     def _log_worker_list(self, source: str) -> None:
         records = self.workers.records()
         self._log.write(
-            LogEvent.WORKERS_TAKEN,
+            LogEvent.WORKER_LIST_APPLIED,
             source=source,
             revision=self.workers.revision,
             workers=len(records),
@@ -330,16 +332,19 @@
 
     def _record_call(self, table: StoreTable, answer: StoreRows | StoreFailure) -> None:
         reachable = isinstance(answer, StoreRows)
-        detail = "answered" if isinstance(answer, StoreRows) else answer.trouble.value
+        detail = "answered" if isinstance(answer, StoreRows) else answer.failure_reason.value
         key = f"{table}:{detail}"
         self.call_counts[key] = self.call_counts.get(key, 0) + 1
-        gone = isinstance(answer, StoreFailure) and answer.trouble is StoreTrouble.HISTORY_GONE
+        gone = (
+            isinstance(answer, StoreFailure)
+            and answer.failure_reason is StoreFailureReason.HISTORY_GONE
+        )
         if gone or self._reachable.get(table) == reachable:
             return
         if table is StoreTable.WORKERS and self._reachable.get(table) is False:
             self._lapsed.record_store_return(clock.now())
         self._reachable[table] = reachable
-        event = LogEvent.STORE_REGAINED if reachable else LogEvent.STORE_LOST
+        event = LogEvent.STORE_REACHABLE if reachable else LogEvent.STORE_UNREACHABLE
         self._log.write(event, table=table.value, detail=detail)
 
     def _retry_pause(self, failures: int) -> float:
--- a/src/corkcrank/node/callers/listener_report.py
+++ b/src/corkcrank/node/callers/listener_report.py
@@ -25,7 +25,7 @@
     def record_disconnected(self, count: int) -> None:
         """Record how many callers had disconnected before their connection was accepted."""
         self._metrics.callers_disconnected.inc(count)
-        self._log.write(LogEvent.CALLERS_LEFT, count=count)
+        self._log.write(LogEvent.CALLERS_DISCONNECTED, count=count)
 
     def record_blocked(self, state: ListenerState) -> None:
         """Record that accepting has been blocked for longer than the limit."""
--- a/src/corkcrank/node/limits/limit_grants.py
+++ b/src/corkcrank/node/limits/limit_grants.py
@@ -121,7 +121,7 @@
         if grant is None:
             grant = self._grant_locally(candidates, clock.now())
         self._log.write(
-            LogEvent.LIMIT_GRANTED if grant.worker_id else LogEvent.LIMIT_HELD_BACK,
+            LogEvent.LIMIT_GRANTED if grant.worker_id else LogEvent.LIMIT_DEFERRED,
             call=call.call_id,
             owner=owner,
             zone=zone,
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -8,7 +8,7 @@
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.opaque_call import PrefixPart
-from corkcrank.links.datagrams import DatagramLink, send_spread
+from corkcrank.links.datagrams import DatagramLink, send_in_groups
 from corkcrank.links.decision_log import DecisionLog, LogEvent
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.machines.fleet import RUN_RECORD_SECONDS, Fleet
@@ -118,7 +118,7 @@
             ) or self._engine_owner.use.used_recently(now)
             audience = self._fleet.heartbeat_addresses(now)
             seconds = self._fleet.heartbeat_interval() * self._random.uniform(*HEARTBEAT_JITTER)
-            await send_spread(self._link, self._encode_heartbeat, audience, seconds)
+            await send_in_groups(self._link, self._encode_heartbeat, audience, seconds)
             self._discard_suspected_peers()
 
     async def watch_pauses(self) -> None:
@@ -145,7 +145,7 @@
             audience = self._fleet.heartbeat_addresses(clock.now())
             total_bytes = len(audience) * self._fleet.heartbeat_bytes
             seconds = max(MIN_URGENT_SPREAD_SECONDS, total_bytes / MAX_URGENT_BYTES_PER_SECOND)
-            await send_spread(self._link, self._encode_heartbeat, audience, seconds)
+            await send_in_groups(self._link, self._encode_heartbeat, audience, seconds)
 
     def request_forwarding(self) -> None:
         """Request that an update is sent to some members, which forward it to others."""
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -84,9 +84,7 @@
                         gone.detail, started=self.started, retry_after=gone.retry_after
                     ) from None
                 self._was_rerun = True
-                self.log.write(
-                    LogEvent.STAGES_MADE_AGAIN, call=self.call.call_id, detail=gone.detail
-                )
+                self.log.write(LogEvent.STAGES_RERUN, call=self.call.call_id, detail=gone.detail)
                 self._free_all()
                 self.plan.reset_results()
 
--- a/src/corkcrank/node/streams/stream_answer.py
+++ b/src/corkcrank/node/streams/stream_answer.py
@@ -8,7 +8,7 @@
 
 from corkcrank.contracts import clock
 from corkcrank.contracts.opaque_call import OpaqueCall
-from corkcrank.links.closed_connections import close_by_reset
+from corkcrank.links.closed_connections import set_reset_on_close
 from corkcrank.links.silence import ConnectionKind, SilentConnection
 from corkcrank.node.calls.services import CallServices
 from corkcrank.node.calls.worker_answers import replace_headers
@@ -101,7 +101,7 @@
         an ordinary close, an aborted stream looked like a complete one.
         """
         if self._request.version < HttpVersion11:
-            close_by_reset(self._request.transport, reset)
+            set_reset_on_close(self._request.transport, reset)
 
     def _record_pause(self) -> None:
         now = clock.now()
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -191,7 +191,7 @@
         outcome = "held back" if turn.engine is None else "elsewhere"
         self._services.metrics.calls_at_limits.labels(outcome).inc()
         self._services.log.write(
-            LogEvent.LIMIT_HELD_BACK,
+            LogEvent.LIMIT_DEFERRED,
             call=self._call.call_id,
             zone=zone,
             taken=turn.engine.worker_id if turn.engine is not None else None,
@@ -282,7 +282,7 @@
             self._plan.reset_results()
             self._exchanges.stages.closed = False
         self._services.log.write(
-            LogEvent.STREAM_MOVED,
+            LogEvent.STREAM_RESUMED,
             call=self._call.call_id,
             worker=engine.worker_id,
             last_event=self._exchanges.resume_after,
--- a/src/corkcrank/node/workers/crash_watch.py
+++ b/src/corkcrank/node/workers/crash_watch.py
@@ -90,7 +90,9 @@
         if self.quarantine.empty:
             return
         if self.quarantine.record_sent(call.fingerprint, clock.now()):
-            self._log.write(LogEvent.REQUEST_TRIED, call=call.call_id, request=call.fingerprint)
+            self._log.write(
+                LogEvent.REQUEST_ON_PROBATION, call=call.call_id, request=call.fingerprint
+            )
             self.on_update()
 
     def record_connection_failure(
@@ -219,7 +221,7 @@
         for request in sorted(before.keys() - self._verdicts.keys()):
             if self.quarantine.state(request, now) is RequestState.SUSPECTED:
                 self._metrics.quarantines_withdrawn.inc()
-                self._log.write(LogEvent.REQUEST_FREED, request=request)
+                self._log.write(LogEvent.REQUEST_VERDICT_REVOKED, request=request)
         self._schedule_review(now)
 
     def _schedule_review(self, now: float) -> None:
--- a/src/corkcrank/node/workers/worker_statements.py
+++ b/src/corkcrank/node/workers/worker_statements.py
@@ -70,7 +70,7 @@
     ) -> None:
         self._metrics.rate_limit_changes.labels(change.value).inc()
         self._log.write(
-            LogEvent.RATE_LIMIT_HEARD,
+            LogEvent.RATE_LIMIT_RECEIVED,
             worker=worker_id,
             change=change.value,
             rate=rate,
--- a/src/corkcrank/platform/store.py
+++ b/src/corkcrank/platform/store.py
@@ -11,7 +11,7 @@
     StoreRow,
     StoreRows,
     StoreTable,
-    StoreTrouble,
+    StoreFailureReason,
     Unreadable,
 )
 from corkcrank.links.silence import (
@@ -137,7 +137,8 @@
                 return found.to_store_rows(revision, page)
             if len(found.rows) == known:
                 return StoreFailure(
-                    StoreTrouble.BROKEN, "incomplete page without a readable row to continue from"
+                    StoreFailureReason.BROKEN,
+                    "incomplete page without a readable row to continue from",
                 )
             query["source"] = found.rows[-1].key + "\x00"
 
@@ -179,7 +180,7 @@
             return body
         written = decode_strictly(body, _TransactionAnswer)
         if isinstance(written, Unreadable):
-            return StoreFailure(StoreTrouble.BROKEN, written.reason)
+            return StoreFailure(StoreFailureReason.BROKEN, written.reason)
         return written.ver
 
     async def _call(
@@ -202,12 +203,12 @@
                 content = await response.read()
                 return _check_status(response.status, content)
         except aiohttp.ConnectionTimeoutError:
-            return StoreFailure(StoreTrouble.SILENT, "connect time-out")
+            return StoreFailure(StoreFailureReason.SILENT, "connect time-out")
         except TimeoutError:
             self._drop_idle(timeout)
-            return StoreFailure(StoreTrouble.SILENT)
+            return StoreFailure(StoreFailureReason.SILENT)
         except (aiohttp.ClientError, OSError, asyncio.IncompleteReadError) as error:
-            return StoreFailure(StoreTrouble.BROKEN, type(error).__name__)
+            return StoreFailure(StoreFailureReason.BROKEN, type(error).__name__)
 
     def drop_all_idle(self) -> int:
         """Discard all idle connections; return their number."""
@@ -222,8 +223,8 @@
     if status == 200:
         return content
     if status == 410:
-        return StoreFailure(StoreTrouble.HISTORY_GONE)
-    return StoreFailure(StoreTrouble.REFUSED, f"status {status}")
+        return StoreFailure(StoreFailureReason.HISTORY_GONE)
+    return StoreFailure(StoreFailureReason.REFUSED, f"status {status}")
 
 
 def _decode_page(body: bytes | StoreFailure) -> _Page | StoreFailure:
@@ -231,7 +232,7 @@
         return body
     page = decode_strictly(body, _Page)
     if isinstance(page, Unreadable):
-        return StoreFailure(StoreTrouble.BROKEN, page.reason)
+        return StoreFailure(StoreFailureReason.BROKEN, page.reason)
     return page
 
 
--- a/src/corkcrank/zones/digest.py
+++ b/src/corkcrank/zones/digest.py
@@ -13,7 +13,7 @@
 from corkcrank.contracts.identifiers import Address, MemberId, WorkerId
 from corkcrank.contracts.messages import WorkerEntry
 
-RELAY_WIDTH = 2
+RELAY_FANOUT = 2
 """Number of members to which each member relays a digest."""
 
 
@@ -82,7 +82,7 @@
 
 
 def relay_targets(
-    members: Sequence[MemberEntry], position: int, width: int = RELAY_WIDTH
+    members: Sequence[MemberEntry], position: int, width: int = RELAY_FANOUT
 ) -> tuple[int, ...]:
     """Return the positions to which the member at ``position`` relays a digest.
 
--- a/src/corkcrank/zones/zone_state.py
+++ b/src/corkcrank/zones/zone_state.py
@@ -24,22 +24,22 @@
 REPORTING_ROLE = "controller"
 """Role of members whose heartbeats carry load reports."""
 
-SHORTEST_INTERVAL_SECONDS = 1.0
+MIN_HEARTBEAT_INTERVAL_SECONDS = 1.0
 """Interval between a member's heartbeats in a small zone."""
 
-REPORTS_PER_SECOND = 15.0
+MAX_REPORTING_HEARTBEATS_PER_SECOND = 15.0
 """Maximum rate of heartbeats with load reports that a holder requests from controllers."""
 
-SIGNS_OF_LIFE_PER_SECOND = 5.0
+MAX_GATEWAY_HEARTBEATS_PER_SECOND = 5.0
 """Maximum rate of heartbeats that a holder requests from its gateways."""
 
-MEMBER_INTERVALS = 3.5
+MAX_MEMBER_AGE_INTERVALS = 3.5
 """Heartbeat intervals without a heartbeat after which a member is removed."""
 
-REPORT_INTERVALS = 5.0
+MAX_REPORT_AGE_INTERVALS = 5.0
 """Heartbeat intervals without a new report after which a load report is removed."""
 
-REMOTE_WORKERS_PER_SERVICE = 8
+MAX_REMOTE_WORKERS_PER_SERVICE = 8
 """Maximum number of least loaded workers of another zone reported for each service."""
 
 
@@ -70,39 +70,43 @@
     def heartbeat_interval(self, role: str) -> float:
         """Return the interval between a member's heartbeats for the zone's size, in seconds."""
         count = sum(member.entry.role == role for member in self._members.values())
-        rate = REPORTS_PER_SECOND if role == REPORTING_ROLE else SIGNS_OF_LIFE_PER_SECOND
-        return max(SHORTEST_INTERVAL_SECONDS, count / rate)
+        rate = (
+            MAX_REPORTING_HEARTBEATS_PER_SECOND
+            if role == REPORTING_ROLE
+            else MAX_GATEWAY_HEARTBEATS_PER_SECOND
+        )
+        return max(MIN_HEARTBEAT_INTERVAL_SECONDS, count / rate)
 
-    def hear_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Record a member's heartbeat and the load reports in it."""
         entry = MemberEntry(heartbeat.member, heartbeat.role, heartbeat.address)
         self._members[heartbeat.member] = _Member(entry, now)
         for report in heartbeat.reports:
             self._reports[report.worker] = _Report(report, now)
 
-    def hear_list(self, machine_list: MachineList) -> None:
+    def apply_machine_list(self, machine_list: MachineList) -> None:
         """Replace the machine list unless the given one is older."""
         if machine_list.version >= self.machine_list.version:
             self.machine_list = machine_list
 
-    def hear_remote(self, digest: ZoneDigest) -> None:
+    def apply_remote_digest(self, digest: ZoneDigest) -> None:
         """Replace the digest of another zone unless the given one is older."""
         known = self._remote.get(digest.zone)
         if known is None or digest.order_key > known.order_key:
             self._remote[digest.zone] = digest
 
-    def forget_silent(self, now: float) -> None:
+    def prune_silent(self, now: float) -> None:
         """Remove expired members and reports, and rebuilds the tables."""
         intervals = {role: self.heartbeat_interval(role) for role in (REPORTING_ROLE, "gateway")}
         self._members = {
             name: member
             for name, member in self._members.items()
-            if now - member.received_at <= MEMBER_INTERVALS * intervals[member.entry.role]
+            if now - member.received_at <= MAX_MEMBER_AGE_INTERVALS * intervals[member.entry.role]
         }
         self._reports = {
             worker: report
             for worker, report in self._reports.items()
-            if now - report.received_at <= REPORT_INTERVALS * intervals[REPORTING_ROLE]
+            if now - report.received_at <= MAX_REPORT_AGE_INTERVALS * intervals[REPORTING_ROLE]
         }
         self._rebuild_tables()
 
@@ -212,5 +216,5 @@
     chosen = list(leaving)
     for group in by_service.values():
         group.sort(key=lambda load: (load.running + load.waiting) / max(1, load.slots))
-        chosen += group[:REMOTE_WORKERS_PER_SERVICE]
+        chosen += group[:MAX_REMOTE_WORKERS_PER_SERVICE]
     return tuple(chosen)
--- a/tests/core/test_control_traffic.py
+++ b/tests/core/test_control_traffic.py
@@ -7,7 +7,7 @@
 from corkcrank.contracts.identifiers import Address, MemberId
 from corkcrank.links.peer_client import PeerClient
 from corkcrank.links.peer_codec import encode_heartbeat_reply
-from corkcrank.links.traffic import HEAD_BYTES, ControlTraffic
+from corkcrank.links.traffic import HEAD_ALLOWANCE_BYTES, ControlTraffic
 from corkcrank.load.cuttable_link import CuttableLink
 from corkcrank.load.local_cluster import PortSource
 from corkcrank.machines.daemon import serve_application
@@ -48,10 +48,10 @@
     peers = PeerClient(traffic)
     heartbeat = Heartbeat(MemberId("gateway-1"), "gateway", "zone", Address("10.0.0.1:9000"), 7)
     for _ in range(ROUNDS):
-        assert await peers.heartbeat(link_address, heartbeat) is not None
+        assert await peers.push_heartbeat(link_address, heartbeat) is not None
     await peers.close()
     await link.stop()
     await runner.cleanup()
     assert traffic.exchanges == ROUNDS
     assert link.total <= traffic.total_bytes
-    assert link.total >= traffic.total_bytes - ROUNDS * HEAD_BYTES
+    assert link.total >= traffic.total_bytes - ROUNDS * HEAD_ALLOWANCE_BYTES
--- a/tests/core/test_datagrams.py
+++ b/tests/core/test_datagrams.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from corkcrank.links.datagrams import GROUP_MEMBERS, send_spread
+from corkcrank.links.datagrams import MAX_GROUP_MEMBERS, send_in_groups
 
 
 class ShortQueueLink:
@@ -28,19 +28,21 @@
 async def test_every_member_receives_the_message_over_a_link_with_a_short_queue(
     members: int,
 ) -> None:
-    link = ShortQueueLink(GROUP_MEMBERS)
+    link = ShortQueueLink(MAX_GROUP_MEMBERS)
     addresses = [f"10.0.0.{number}:1" for number in range(members)]
-    await send_spread(link, lambda: b"news", addresses, 0.05)
+    await send_in_groups(link, lambda: b"news", addresses, 0.05)
     assert set(link.delivered) == set(addresses)
 
 
 async def test_each_group_receives_the_message_current_at_its_time() -> None:
-    link = ShortQueueLink(GROUP_MEMBERS)
+    link = ShortQueueLink(MAX_GROUP_MEMBERS)
     built: list[int] = []
 
     def message() -> bytes:
         built.append(len(built))
         return str(built[-1]).encode()
 
-    await send_spread(link, message, [str(number) for number in range(3 * GROUP_MEMBERS)], 0.02)
+    await send_in_groups(
+        link, message, [str(number) for number in range(3 * MAX_GROUP_MEMBERS)], 0.02
+    )
     assert set(link.delivered.values()) == {b"0", b"1", b"2"}
--- a/tests/core/test_decision_log.py
+++ b/tests/core/test_decision_log.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from corkcrank.cli.explain import explain_call
-from corkcrank.links.decision_log import LINE_BURST, BoundedOutput, DecisionLog, LogEvent
+from corkcrank.links.decision_log import MAX_BURST_LINES, BoundedOutput, DecisionLog, LogEvent
 
 
 def lines_of(descriptor: int) -> list[dict[str, object]]:
@@ -43,11 +43,11 @@
     reader, writer = os.pipe()
     output = BoundedOutput(writer, limit=10_000_000)
     log = DecisionLog(output, "node-1")
-    for _ in range(int(LINE_BURST) + 50):
+    for _ in range(int(MAX_BURST_LINES) + 50):
         log.write(LogEvent.CALL_SENT)
     log.write(LogEvent.READY)
     events = [line["event"] for line in lines_of(reader)]
-    assert events.count(LogEvent.CALL_SENT.value) <= LINE_BURST + 5
+    assert events.count(LogEvent.CALL_SENT.value) <= MAX_BURST_LINES + 5
     assert LogEvent.READY.value in events
 
 
--- a/tests/core/test_heartbeat_codec.py
+++ b/tests/core/test_heartbeat_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from corkcrank.contracts.worker_records import WorkerRecord
-from corkcrank.links.datagrams import MAXIMUM_DATAGRAM_BYTES
+from corkcrank.links.datagrams import MAX_DATAGRAM_BYTES
 from corkcrank.machines.heartbeat import CallLoad, Heartbeat, Phase, SentPrefix, StageLoad
 from corkcrank.machines.heartbeat_codec import (
     MAX_HEARTBEAT_BYTES,
@@ -64,7 +64,7 @@
 ) -> None:
     beat = heartbeat(queues, calls, prefixes, changes)
     data = encode_heartbeat(beat)
-    assert len(data) <= MAXIMUM_DATAGRAM_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     decoded = decode_heartbeat(data)
     assert decoded is not None
     assert (decoded.name, decoded.phase, decoded.interval) == (beat.name, beat.phase, beat.interval)
--- a/tests/core/test_leases_and_orders.py
+++ b/tests/core/test_leases_and_orders.py
@@ -14,7 +14,7 @@
 from corkcrank.contracts.configuration import Configuration, Placement
 from corkcrank.contracts.identifiers import Address, MemberId, WorkerId
 from corkcrank.contracts.messages import LoadReport, WorkerEntry
-from corkcrank.links.back_ends import ORDER_SECONDS
+from corkcrank.links.back_ends import ORDER_TIMEOUT_SECONDS
 from corkcrank.machines.leases import Lease, LeaseRow, WriteLease
 from corkcrank.machines.orders import required_orders
 
@@ -103,9 +103,9 @@
 
     def order(self, member: Member) -> None:
         clock = self.now + member.clock_offset
-        if not member.lease.holds(clock, margin=ORDER_SECONDS):
+        if not member.lease.holds(clock, margin=ORDER_TIMEOUT_SECONDS):
             return
-        flight = self.source.uniform(0.0, ORDER_SECONDS)
+        flight = self.source.uniform(0.0, ORDER_TIMEOUT_SECONDS)
         self.flights.append(Flight(member.lease.fence, self.now + flight))
 
 
--- a/tests/core/test_relay.py
+++ b/tests/core/test_relay.py
@@ -61,14 +61,14 @@
         agents[name] = make_agent(name, peers)
     state = ZoneState(ZONE)
     worker = WorkerEntry(WorkerId("w"), "llm", ZONE, "1.1.1.1:1")
-    state.hear_list(MachineList(1, (worker,)))
+    state.apply_machine_list(MachineList(1, (worker,)))
     report = LoadReport(WorkerId("w"), False, 3, 1, 8)
     for name in names:
         address = Address(name)
-        state.hear_heartbeat(
+        state.apply_heartbeat(
             Heartbeat(MemberId(name), "controller", ZONE, address, 1, (report,)), 0.0
         )
-    state.forget_silent(0.0)
+    state.prune_silent(0.0)
     state.validate()
     for _ in range(2):
         agents[names[holder]].publish_digest(state.make_digest(1, 1), state.tables)
--- a/tests/core/test_restarted_back_ends.py
+++ b/tests/core/test_restarted_back_ends.py
@@ -33,23 +33,23 @@
         self._version += 1
         entry = WorkerEntry(WORKER, "llm", ZONES[0], "1.1.1.1:1", boot, leaving)
         for holder in self.holders.values():
-            holder.hear_list(MachineList(self._version, (entry,)))
+            holder.apply_machine_list(MachineList(self._version, (entry,)))
 
     def report(self, boot: str, *, leaving: bool) -> None:
         """Apply a load report of the back end at the first holder."""
         report = LoadReport(WORKER, leaving, 0, 0, 8, boot)
         member = MemberId("controller")
         heartbeat = Heartbeat(member, "controller", ZONES[0], Address("1.1.1.1:2"), 1, (report,))
-        self.holders[ZONES[0]].hear_heartbeat(heartbeat, 0.0)
+        self.holders[ZONES[0]].apply_heartbeat(heartbeat, 0.0)
 
     def send_summary(self) -> None:
         """Apply the first holder's summary at the second holder."""
-        self.holders[ZONES[1]].hear_remote(self.holders[ZONES[0]].make_summary(1, 1))
+        self.holders[ZONES[1]].apply_remote_digest(self.holders[ZONES[0]].make_summary(1, 1))
 
     def send_digest(self) -> None:
         """Apply its holder's digest, as encoded on the wire, at the gateway."""
         holder = self.holders[self._gateway_zone]
-        holder.forget_silent(0.0)
+        holder.prune_silent(0.0)
         encoded = encode_digest(holder.make_digest(1, 1), holder.tables, Enclosures(directory=True))
         digest = decode_digest(encoded, KnownTables())
         assert digest.directory is not None
--- a/tests/platform/test_late_stop.py
+++ b/tests/platform/test_late_stop.py
@@ -163,5 +163,5 @@
         with pytest.raises(aiohttp.ClientPayloadError):
             await response.read()
         await until(lambda: LogEvent.CALL_ENDED in written)
-        assert LogEvent.STREAM_MOVED not in written
+        assert LogEvent.STREAM_RESUMED not in written
         assert (len(encode.calls), len(engine.seen)) == (1, 1)
--- a/tests/platform/test_store_pages.py
+++ b/tests/platform/test_store_pages.py
@@ -18,7 +18,7 @@
 from aiohttp import web
 from platform_standins import Server
 
-from corkcrank.links.platform_ports import StoreFailure, StoreRows, StoreTable, StoreTrouble
+from corkcrank.links.platform_ports import StoreFailure, StoreRows, StoreTable, StoreFailureReason
 from corkcrank.platform.store import PlatformStore
 
 TIMEOUT = 0.5
@@ -70,14 +70,14 @@
     async with store_answering(*PARTS[part]) as store:
         answer = await store.read(StoreTable.WORKERS)
     assert isinstance(answer, StoreFailure)
-    assert answer.trouble is StoreTrouble.BROKEN
+    assert answer.failure_reason is StoreFailureReason.BROKEN
 
 
 async def test_a_feed_answer_without_the_field_of_rows_is_a_failure() -> None:
     async with store_answering({"ver": 10, "now_ms": 1000}) as store:
         answer = await store.watch(StoreTable.WORKERS, 5, 0.1)
     assert isinstance(answer, StoreFailure)
-    assert answer.trouble is StoreTrouble.BROKEN
+    assert answer.failure_reason is StoreFailureReason.BROKEN
 
 
 CUTS = [b"", b'{"rows":[],"ver":10', b'{"rows":[],"ver":10,"now_ms":1}']
--- a/tests/platform/test_worker_entries.py
+++ b/tests/platform/test_worker_entries.py
@@ -173,7 +173,7 @@
     found, sources = await rows_of(pages)
     assert isinstance(found, StoreRows)
     assert [row.key for row in found.rows] == ["i-a", "i-z"]
-    assert len(found.nameless) == 1
+    assert len(found.unreadable_keys) == 1
     assert sources == ["", "i-a\x00"]
 
 
--- a/tests/platform/test_worker_statements.py
+++ b/tests/platform/test_worker_statements.py
@@ -56,7 +56,7 @@
             worker.named = {"Server-Limit": named} if named else {}
             assert (await running.call("/safe/x", method="GET")).status == 200
         metrics = await operators_page(running, "/metrics")
-    logged = [line for line in lines if line["e"] == LogEvent.RATE_LIMIT_HEARD]
+    logged = [line for line in lines if line["e"] == LogEvent.RATE_LIMIT_RECEIVED]
     assert [(line["change"], line["rate"]) for line in logged] == [
         ("named", 20.0),
         ("changed", 15.5),
