--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -52,7 +52,7 @@
 class Fleet:
     """Every gateway that this one knows.
 
-    ``owns`` is set while this gateway owns queues or engines of its zone. Other members then
+    ``is_owner`` is set while this gateway owns queues or engines of its zone. Other members then
     decide by its reports.
     """
 
--- a/src/corkcrank/machines/fleet_view.py
+++ b/src/corkcrank/machines/fleet_view.py
@@ -49,7 +49,7 @@
         >>> sums.add([ServiceBacklog("s", (0, 1), 5, 2.0), ServiceBacklog("s", (0, 2), 1, 0.5)])
         >>> sums.pieces_up_to("s", (0, 1)), sums.rate_before("s", (0, 2))
         (5, 2.0)
-        >>> sums.remove([ServiceBacklog("s", (0, 1), 5, 2.0)])
+        >>> sums.subtract([ServiceBacklog("s", (0, 1), 5, 2.0)])
         >>> sums.pieces_up_to("s", (0, 1)), sums.rate_before("s", (0, 2))
         (0, 0.0)
         """
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """Live and serving members, valid until ``until`` of the local clock at most.
+    """Live and serving members, valid until ``valid_until`` of the local clock at most.
 
     ``live`` holds the other members that are not suspected, by name. ``serving`` lists the
     serving members by zone, this one included, and ``all_serving`` lists all of them.
--- a/src/corkcrank/machines/members.py
+++ b/src/corkcrank/machines/members.py
@@ -30,8 +30,8 @@
     """Another gateway and its last heartbeat.
 
     ``probed_at`` is the time of the first probe since the last heartbeat, ``next_probe_at``
-    when it may be probed again. ``excused`` is the number of seconds since the last heartbeat
-    in which this process was paused and could receive nothing.
+    when it may be probed again. ``excused_seconds`` counts those since the last heartbeat in
+    which this process was paused and could receive nothing.
     """
 
     heartbeat: Heartbeat
@@ -55,9 +55,9 @@
         """Return when the member is suspected if no heartbeat arrives until then.
 
         >>> beat = Heartbeat("n", 1, "z", "10.0.0.1:1", 1, 0.25)
-        >>> Member(beat, heard_at=5.0).suspected_at
+        >>> Member(beat, received_at=5.0).suspected_at
         6.0
-        >>> Member(beat, heard_at=5.0, probed_at=4.8).suspected_at
+        >>> Member(beat, received_at=5.0, probed_at=4.8).suspected_at
         5.8
         """
         silence_limit = (
--- a/src/corkcrank/machines/owner_use.py
+++ b/src/corkcrank/machines/owner_use.py
@@ -16,11 +16,11 @@
         self._used_at = now
 
     def used_recently(self, now: float) -> bool:
-        """Return whether the owner had a request within the last ``OWNER_SECONDS``.
+        """Return whether the owner had a request within the last ``OWNER_USE_SECONDS``.
 
         >>> use = OwnerUse()
-        >>> use.note(10.0)
-        >>> use.lately(11.0), use.lately(16.0)
+        >>> use.record_use(10.0)
+        >>> use.used_recently(11.0), use.used_recently(16.0)
         (True, False)
         """
         return now - self._used_at < OWNER_USE_SECONDS
--- a/src/corkcrank/machines/warming_workers.py
+++ b/src/corkcrank/machines/warming_workers.py
@@ -46,10 +46,10 @@
 
         >>> warming = WarmingWorkers()
         >>> worker = WorkerRecord("w", "s", "", "a", warmup=2.0)
-        >>> warming.note(worker, now=10.0)
+        >>> warming.record_entry(worker, now=10.0)
         >>> [warming.is_warming(worker, 3.0, now) for now in (11.9, 12.0)]
         [True, False]
-        >>> warming.note_taken_back("a", now=20.0)
+        >>> warming.record_zone_restored("a", now=20.0)
         >>> [warming.is_warming(worker, 3.0, now) for now in (22.9, 23.0)]
         [True, False]
         """
--- a/src/corkcrank/node/peers/peer_client.py
+++ b/src/corkcrank/node/peers/peer_client.py
@@ -15,7 +15,7 @@
     drop_all_idle,
     drop_idle,
 )
-from corkcrank.machines.members import PROBE_TIMEOUT_SECONDS, MIN_SILENCE_FOR_PROBE_SECONDS
+from corkcrank.machines.members import MIN_SILENCE_FOR_PROBE_SECONDS, PROBE_TIMEOUT_SECONDS
 
 PEER_CONNECT_TIMEOUT_SECONDS = 0.3
 """Timeout for connecting to a peer."""
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -147,7 +147,10 @@
     members = sum(simulation.scenario.nodes_by_zone.values())
     # Sends heartbeats at the interval of the simulated deployment.
     seconds = simulation.scenario.heartbeat_seconds
-    for name, size_factor in (("HEARTBEAT_BYTES_A_SECOND", 1.0), ("OWNER_BYTES_A_SECOND", 3.0)):
+    for name, size_factor in (
+        ("MAX_HEARTBEAT_BYTES_PER_SECOND", 1.0),
+        ("MAX_OWNER_BYTES_PER_SECOND", 3.0),
+    ):
         patch.setattr(
             fleet,
             name,
--- a/tests/scheduling/test_fleet_at_size.py
+++ b/tests/scheduling/test_fleet_at_size.py
@@ -7,15 +7,15 @@
 
 from corkcrank.links.platform_ports import StoreTable
 from corkcrank.machines.fleet import (
-    MAX_HEARTBEAT_BYTES_PER_SECOND,
     HEARTBEAT_SECONDS,
+    MAX_HEARTBEAT_BYTES_PER_SECOND,
     Fleet,
 )
 from corkcrank.machines.heartbeat import Heartbeat, Phase
 from corkcrank.machines.members import (
-    PROBE_TIMEOUT_SECONDS,
-    PROBE_INTERVAL_SECONDS,
     MIN_SILENCE_FOR_PROBE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
 )
 from corkcrank.machines.store_contact import ReportedStoreContact, StoreContact, newest_contact
 
