--- a/src/corkcrank/links/back_ends.py
+++ b/src/corkcrank/links/back_ends.py
@@ -31,7 +31,7 @@
 """Timeout for reading a load report or the machine list."""
 
 ORDER_TIMEOUT_SECONDS = 0.8
-"""Timeout for an order; must stay below :data:`LONGEST_FLIGHT_SECONDS` of leases."""
+"""Timeout for an order; must stay below :data:`MAX_ORDER_FLIGHT_SECONDS` of leases."""
 
 LOAD_REPORT_BYTES = 130
 """Assumed size of a load report in the count of control traffic."""
--- a/src/corkcrank/machines/lapsed_entries.py
+++ b/src/corkcrank/machines/lapsed_entries.py
@@ -28,17 +28,17 @@
     ) -> bool:
         """Defer a removal right after the store's return; return whether it is deferred.
 
-        A newer change of the same worker replaces it. ``whole_before`` is the revision up to
+        A newer change of the same worker replaces it. ``complete_before`` is the revision up to
         which a list that still has the worker is complete: the one before the change, or less if
         a whole list showed only that the row was removed at some time since.
 
-        >>> lapsed = LapsedEntries()
+        >>> queue = LapsedEntries()
         >>> gone = WorkerChange("w", 7, None)
-        >>> lapsed.hold(gone, 1.0)
+        >>> queue.defer_removal(gone, 1.0)
         False
-        >>> lapsed.store_returned(1.0); lapsed.hold(gone, 1.1), lapsed.due(1.2)
+        >>> queue.record_store_return(1.0); queue.defer_removal(gone, 1.1), queue.pop_confirmed(1.2)
         (True, [])
-        >>> [change.name for change in lapsed.due(3.1)], lapsed.due(3.2)
+        >>> [change.name for change in queue.pop_confirmed(3.1)], queue.pop_confirmed(3.2)
         (['w'], [])
         """
         self._deferred.pop(change.name, None)
--- a/src/corkcrank/machines/leases.py
+++ b/src/corkcrank/machines/leases.py
@@ -3,7 +3,7 @@
 The row in the table is authoritative. Times are read from the holder's local clock *before* the
 renewal is sent, so the holder expects its lease to expire earlier than any other process does. A
 candidate waits until the row was unchanged for the whole duration plus
-:data:`LONGEST_FLIGHT_SECONDS`; clocks of different processes are never compared.
+:data:`MAX_ORDER_FLIGHT_SECONDS`; clocks of different processes are never compared.
 """
 
 from dataclasses import dataclass
--- a/src/corkcrank/machines/store_contact.py
+++ b/src/corkcrank/machines/store_contact.py
@@ -34,9 +34,9 @@
 ) -> StoreContact:
     """Return the newer of the known contact and one that a peer reported.
 
-    >>> known = newer_contact(StoreContact(), ReportedStoreContact(5.0, 0.2), now=10.0)
-    >>> known, newer_contact(known, ReportedStoreContact(5.0, 0.1), now=11.0) == known
-    (StoreContact(store_time=5.0, heard_at=9.8), True)
+    >>> known = merge_reported_contact(StoreContact(), ReportedStoreContact(5.0, 0.2), now=10.0)
+    >>> known, merge_reported_contact(known, ReportedStoreContact(5.0, 0.1), now=11.0) == known
+    (StoreContact(store_time=5.0, received_at=9.8), True)
     """
     if reported.store_time <= known.store_time:
         return known
--- a/src/corkcrank/machines/store_followers.py
+++ b/src/corkcrank/machines/store_followers.py
@@ -82,7 +82,7 @@
     def should_follow_table(self, table: StoreTable, local_answer_at: float, now: float) -> bool:
         """Return whether to follow a table.
 
-        ``own_answer_at`` is the time of the store's last answer to this gateway.
+        ``local_answer_at`` is the time of the store's last answer to this gateway.
         """
         order = self._follow_order(now)
         own = self._fleet.local_name
@@ -122,8 +122,8 @@
         names = sorted(view.all_serving, key=self._weight, reverse=True)
         followers = self._elect_followers(names)
         others = [name for name in names if name not in followers]
-        next_ones = others[: len(followers)]
-        return _FollowOrder(frozenset(followers), frozenset(others), frozenset(next_ones))
+        first_stand_ins = others[: len(followers)]
+        return _FollowOrder(frozenset(followers), frozenset(others), frozenset(first_stand_ins))
 
     def _elect_followers(self, order: list[str]) -> set[str]:
         """Return the first member of each zone, then the first of the order up to the minimum."""
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -246,7 +246,7 @@
             self.on_store_change()
 
     def _defer_lapsed(self, change: WorkerChange, now: float, complete_before: int | None) -> bool:
-        """Return whether a removal is deferred because only the worker's entry may have lapsed.
+        """Defer a removal if only the worker's entry may have lapsed; return whether it did.
 
         An entry that exists but names no worker has not lapsed: some writer replaced it.
         """
@@ -335,11 +335,11 @@
         detail = "answered" if isinstance(answer, StoreRows) else answer.failure_reason.value
         key = f"{table}:{detail}"
         self.call_counts[key] = self.call_counts.get(key, 0) + 1
-        gone = (
+        history_gone = (
             isinstance(answer, StoreFailure)
             and answer.failure_reason is StoreFailureReason.HISTORY_GONE
         )
-        if gone or self._reachable.get(table) == reachable:
+        if history_gone or self._reachable.get(table) == reachable:
             return
         if table is StoreTable.WORKERS and self._reachable.get(table) is False:
             self._lapsed.record_store_return(clock.now())
--- a/src/corkcrank/machines/worker_changes.py
+++ b/src/corkcrank/machines/worker_changes.py
@@ -50,11 +50,11 @@
         Changes that this gateway received in a whole list are in no batch.
 
         >>> recent = RecentWorkerChanges()
-        >>> recent.add(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
-        >>> recent.add(WorkerChangeBatch(5, 9, (WorkerChange("b", 9, None),)), 1.0)
-        >>> recent.current(1.0).since, recent.current(1.0).revision
+        >>> recent.add_batch(WorkerChangeBatch(3, 5, (WorkerChange("a", 5, None),)), 0.0)
+        >>> recent.add_batch(WorkerChangeBatch(5, 9, (WorkerChange("b", 9, None),)), 1.0)
+        >>> recent.current_batch(1.0).since, recent.current_batch(1.0).revision
         (3, 9)
-        >>> recent.current(2.0).since, recent.current(9.0)
+        >>> recent.current_batch(2.0).since, recent.current_batch(9.0)
         (5, None)
         """
         while self._batches and now - self._batches[0][0] > REPORT_SECONDS:
--- a/tests/platform/test_store_mirror.py
+++ b/tests/platform/test_store_mirror.py
@@ -99,12 +99,12 @@
         store = running.store
         store.silent = True
         store.put("op", "config", configuration(2, MORE))
-        lost = running.nodes[0].mirror
-        await until(lambda: any("silent" in key for key in lost.call_counts))
+        mirror = running.nodes[0].mirror
+        await until(lambda: any("silent" in key for key in mirror.call_counts))
         store.silent = False
         asked = len(store.calls)
         async with asyncio.timeout(2.5):
-            await until(lambda: lost.version == 2)
+            await until(lambda: mirror.version == 2)
         assert len(store.calls) - asked < 20
 
 
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -10,9 +10,9 @@
 from corkcrank.machines.heartbeat import Heartbeat, Phase
 from corkcrank.machines.store_contact import ReportedStoreContact
 from corkcrank.machines.store_followers import (
+    MAX_STAND_IN_CALLS_PER_SECOND,
     MIN_FOLLOWERS,
     RETRY_PAUSE_RANGE_SECONDS,
-    MAX_STAND_IN_CALLS_PER_SECOND,
     StoreFollowerElection,
 )
 from corkcrank.machines.worker_changes import (
