--- a/src/corkcrank/node/stages/input_releases.py
+++ b/src/corkcrank/node/stages/input_releases.py
@@ -32,7 +32,7 @@
 
 
 class InputReleases:
-    """The inputs of queued and running pieces; ``free`` is called with results to free."""
+    """The inputs of queued and running pieces; ``free_results`` is called to free them."""
 
     def __init__(self) -> None:
         self.free_results: Callable[[FreeResults], None] = lambda results: None
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -27,12 +27,12 @@
     start_call_if_allowed,
 )
 from corkcrank.node.stages.stage_messages import (
-    describe_batch,
-    seconds_since_abandoned,
+    build_stage_item,
     build_stage_load,
+    describe_batch,
     piece_outcome,
     refusal_answer,
-    build_stage_item,
+    seconds_since_abandoned,
 )
 from corkcrank.node.stages.stage_room import StageRoom
 from corkcrank.node.stages.stage_worker_client import StageWorkerClient
--- a/src/corkcrank/node/stages/stage_owner_client.py
+++ b/src/corkcrank/node/stages/stage_owner_client.py
@@ -31,8 +31,8 @@
 class StageOwnerClient:
     """Sends requests about stage workers to the gateways that own them.
 
-    ``on_wait`` is called periodically with the name of an owner whose answer is awaited;
-    ``on_unused`` is called with an answer that arrived for a cancelled question.
+    ``on_waiting`` is called periodically with the name of an owner whose answer is awaited;
+    ``on_unused_answer`` is called with an answer that arrived for a cancelled question.
     """
 
     def __init__(self, fleet: Fleet, peers: PeerClient, random_source: random.Random) -> None:
@@ -76,7 +76,7 @@
         handles: tuple[str, ...],
         on_unreachable: Callable[[], None],
     ) -> None:
-        """Free results at an owner; ``otherwise`` is called if the owner is unreachable."""
+        """Free results at an owner; ``on_unreachable`` is called if the owner cannot be reached."""
         self._spawn(
             self._send_free_message(address, FreeResults(worker_id, handles), on_unreachable)
         )
--- a/src/corkcrank/node/stages/stage_room.py
+++ b/src/corkcrank/node/stages/stage_room.py
@@ -30,10 +30,10 @@
 
 @dataclass(slots=True)
 class WorkerRoom:
-    """Pending messages about one worker's result memory; ``to_free`` contains result handles.
+    """Pending messages about one worker's result memory.
 
-    ``ended`` says that the worker has restarted. Its results were lost, and its next incarnation,
-    at the same address, may have assigned the same handles to results of other calls.
+    ``restarted`` says that the worker process has restarted: its results were lost, and the new
+    incarnation, at the same address, may have assigned the same handles to other results.
     ``evacuated`` says that nothing may be sent to the worker; its results expire by themselves.
     """
 
--- a/src/corkcrank/node/stages/stage_run.py
+++ b/src/corkcrank/node/stages/stage_run.py
@@ -43,8 +43,8 @@
 class StageRun:
     """Runs the stages of one call; its results are freed by :meth:`close`.
 
-    ``rest_seconds`` is the time needed after the stages; ``spread_seconds`` is the standard
-    deviation of the forecast by which the call was admitted.
+    ``seconds_after_stages`` is the time needed after the stages; ``spread_seconds`` is the
+    standard deviation of the forecast by which the call was admitted.
 
     ``started`` says whether a piece was run or attempted, ``_begun`` whether any was requested.
     """
--- a/tests/platform/test_recent_answers.py
+++ b/tests/platform/test_recent_answers.py
@@ -10,8 +10,8 @@
 from corkcrank.links.platform_ports import PieceOutcome, PieceResult
 from corkcrank.node.peers.peer_protocol import StageAnswer
 from corkcrank.node.stages.recent_answers import (
-    MAX_WITHDRAWAL_SECONDS,
     MAX_RECENT_ANSWERS,
+    MAX_WITHDRAWAL_SECONDS,
     RecentAnswers,
 )
 
