--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -60,7 +60,7 @@
 class HeartbeatLoop:
     """Reports this gateway's state to the fleet and applies what the others report.
 
-    ``on_behind`` is called when a member has a newer configuration, ``on_suspended`` with the
+    ``on_newer_configuration`` is called when a member has one, ``on_suspended`` with the
     seconds for which the machine was suspended.
     """
 
--- a/src/corkcrank/node/peers/peer_client.py
+++ b/src/corkcrank/node/peers/peer_client.py
@@ -87,9 +87,9 @@
     ) -> bytes | PeerFailure:
         """Return a peer's answer, or why there is none.
 
-        ``message`` is sent by POST; without one the request is a GET. ``seconds`` limits the
-        whole exchange, beside the silence timeout. ``repeat`` allows one retry on a new
-        connection after silence, for a request that is harmless if it arrives twice.
+        ``message`` is sent by POST; without one the request is a GET. ``timeout_seconds`` limits
+        the whole exchange, beside the silence timeout. ``retry_on_silence`` allows one retry on a
+        new connection after silence, for a request that is harmless if it arrives twice.
         """
         answer = await self._exchange(address, path, message, timeout_seconds)
         if answer is PeerFailure.SILENT and retry_on_silence:
--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -279,7 +279,7 @@
         assert worker is not None
         post, written = dispatch.owner_client._peers.request, asyncio.Event()
 
-        async def post_to_a_slow_link(
+        async def post_slowly(
             address: str, path: str, message: bytes | None = None, **options: Any
         ) -> bytes | PeerFailure:
             body = await post(address, path, message, **options)
