--- a/src/corkcrank/node/calls/attempts.py
+++ b/src/corkcrank/node/calls/attempts.py
@@ -135,8 +135,10 @@
         _record_leaving(services, worker, response)
         status = response.status
         response.close()
-        lost_inputs = status == INPUTS_UNAVAILABLE_STATUS
-        return Attempt(worker, AttemptOutcome.NOT_RUN, f"status {status}", None, head, lost_inputs)
+        inputs_unavailable = status == INPUTS_UNAVAILABLE_STATUS
+        return Attempt(
+            worker, AttemptOutcome.NOT_RUN, f"status {status}", None, head, inputs_unavailable
+        )
     if not head.sealed or head.call_id != call.call_id:
         response.close()
         return Attempt(worker, AttemptOutcome.LOST, "answer without signature or request id")
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -72,8 +72,8 @@
 class CallServices:
     """Everything that is needed to serve a call.
 
-    ``drain`` is the schedule of a planned stop. ``cutting`` is set while this gateway closes
-    connections on which calls may still be waiting.
+    ``drain`` is the schedule of a planned stop. ``closing_connections`` is set while this gateway
+    closes connections on which calls may still be waiting.
     """
 
     ports: PlatformPorts
--- a/src/corkcrank/node/streams/stream_part.py
+++ b/src/corkcrank/node/streams/stream_part.py
@@ -41,11 +41,11 @@
     """State of the events that one engine sent for a stream.
 
     ``resume_after`` is the id of the event after which the engine was asked to begin, empty for
-    a stream from its beginning. ``more_begun`` is set if the part of an earlier engine showed
+    a stream from its beginning. ``next_event_begun`` is set if the part of an earlier engine showed
     that another event follows that one. ``first_event`` and ``last_event`` are the ids of the
     events that were relayed; ``leftover`` holds the bytes after the last complete event.
     ``skipped`` is set if an event was missing before one that arrived, ``silent`` if the engine
-    was abandoned because it sent nothing. ``begun_at`` is the time of its first event.
+    was abandoned because it sent nothing. ``first_event_at`` is the time of its first event.
     """
 
     status: int
@@ -93,11 +93,11 @@
         Engines terminate the body of a failure as properly as a stream, and some stop in the
         middle of an event.
 
-        >>> StreamPart(200, Framing.CHUNKS, events=3).whole_at_end()
+        >>> StreamPart(200, Framing.CHUNKS, events=3).is_stream_end()
         True
-        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b"id: 4\n").whole_at_end()
+        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b"id: 4\n").is_stream_end()
         False
-        >>> StreamPart(500, Framing.LENGTH, resume_after="3").whole_at_end()
+        >>> StreamPart(500, Framing.LENGTH, resume_after="3").is_stream_end()
         False
         """
         if not self.succeeded or self.leftover.strip():
@@ -110,9 +110,9 @@
         Without this check, an engine that had no further event ended a stream as complete
         although the previous engine had failed in the middle of the next event.
 
-        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b"id: 4\n").shows_more()
+        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b"id: 4\n").shows_next_event()
         True
-        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b": still here").shows_more()
+        >>> StreamPart(200, Framing.CHUNKS, events=3, leftover=b": still here").shows_next_event()
         False
         """
         if self.skipped:
--- a/tests/scheduling/played_network.py
+++ b/tests/scheduling/played_network.py
@@ -238,7 +238,7 @@
             services.statements.record_response(worker, HTTPStatus.OK, headers)
         return Attempt(worker, AttemptOutcome.ANSWERED)
 
-    patch.setattr(EngineExchanges, "_take_answer", take_answer)
+    patch.setattr(EngineExchanges, "_relay_answer", take_answer)
     patch.setattr(StreamAnswer, "finished", lambda answer: "served")
     patch.setattr(engine_exchange, "attempt_call", attempt_call)
 
