--- a/src/corkcrank/contracts/adoption.py
+++ b/src/corkcrank/contracts/adoption.py
@@ -50,9 +50,9 @@
         """Put ``configuration`` in force if it is newer; return whether it was newer.
 
         >>> adoption = ConfigurationAdoption()
-        >>> adoption.adopt(Configuration(version=2), now=0.0)
+        >>> adoption.adopt_if_newer(Configuration(version=2), now=0.0)
         True
-        >>> adoption.adopt(Configuration(version=1), now=1.0), adoption.version
+        >>> adoption.adopt_if_newer(Configuration(version=1), now=1.0), adoption.version
         (False, 2)
         """
         if configuration.version <= self.version:
--- a/src/corkcrank/contracts/claims.py
+++ b/src/corkcrank/contracts/claims.py
@@ -6,7 +6,7 @@
 outcome. If the owner recorded that it never sent anything, the claim is *released* and
 may be claimed again.
 
-This module does no I/O: :meth:`ClaimProcess.handle` applies an event and returns
+This module does no I/O: :meth:`ClaimProcess.handle_event` applies an event and returns
 instructions, which the caller carries out.
 """
 
--- a/src/corkcrank/contracts/clock.py
+++ b/src/corkcrank/contracts/clock.py
@@ -33,16 +33,16 @@
 
 
 def clamp_remaining_seconds(seconds: float) -> float:
-    """Return the remaining time, at least 0.001 s: zero or less would mean "no limit".
+    """Return ``seconds``, but at least 0.001: zero or less would mean "no limit".
 
-    >>> at_least_a_moment(2.0), at_least_a_moment(-2.0)
+    >>> clamp_remaining_seconds(2.0), clamp_remaining_seconds(-2.0)
     (2.0, 0.001)
     """
     return max(MIN_REMAINING_SECONDS, seconds)
 
 
 class SuspensionMeter:
-    """Measures how long the machine was suspended, from two clocks of which one then stops."""
+    """Measures machine suspensions: :func:`now` includes them, :func:`loop_time` does not."""
 
     def __init__(self) -> None:
         self._offset = now() - loop_time()
--- a/src/corkcrank/contracts/rendezvous.py
+++ b/src/corkcrank/contracts/rendezvous.py
@@ -10,7 +10,7 @@
 def rendezvous_hash(key: str, node: str) -> int:
     """Return the hash of ``key`` with ``node``; the node with the highest hash owns the key.
 
-    >>> max(("a", "b"), key=lambda node: rendezvous_weight("key", node)) in ("a", "b")
+    >>> max(("a", "b"), key=lambda node: rendezvous_hash("key", node)) in ("a", "b")
     True
     """
     return xxhash.xxh3_64_intdigest(f"{key}\x00{node}".encode())
@@ -22,7 +22,7 @@
     The node with the highest score owns the key. Each node's share of the keys is
     proportional to its weight.
 
-    >>> scores = {node: weighted_rendezvous("key", node, 1.0) for node in ("a", "b")}
+    >>> scores = {node: weighted_rendezvous_score("key", node, 1.0) for node in ("a", "b")}
     >>> max(scores, key=scores.get) in ("a", "b")
     True
     """
--- a/src/corkcrank/contracts/table_keys.py
+++ b/src/corkcrank/contracts/table_keys.py
@@ -24,7 +24,7 @@
 def claim_key(tenant: str, key: str) -> str:
     """Return the key of a claim; the caller's idempotency key is hashed, so any text is valid.
 
-    >>> claim("a", "x") != claim("ax", "")
+    >>> claim_key("a", "x") != claim_key("ax", "")
     True
     """
     return f"claim/{tenant}/{hashlib.sha256(key.encode()).hexdigest()[:40]}"
