--- a/src/corkcrank/contracts/node_settings.py
+++ b/src/corkcrank/contracts/node_settings.py
@@ -96,7 +96,8 @@
     def processor_capacity(self) -> float:
         """Return the processor capacity of the process, in standard processors; 0 if unknown.
 
-        >>> NodeLimitSettings(cpu_share=0.5, cpu_speed=3.0).strength, NodeLimitSettings().strength
+        >>> (NodeLimitSettings(cpu_share=0.5, cpu_speed=3.0).processor_capacity,
+        ...     NodeLimitSettings().processor_capacity)
         (1.5, 0.0)
         """
         return self.cpu_share * self.cpu_speed
--- a/src/corkcrank/contracts/urgency.py
+++ b/src/corkcrank/contracts/urgency.py
@@ -35,7 +35,7 @@
     overtake them until they are late. Calls of one tenant are therefore served by due time;
     a less urgent route only adds a small delay to it.
 
-    >>> begun_rank((1, 2))
+    >>> downstream_rank((1, 2))
     (1, 0)
     """
     return rank[0], 0
@@ -44,9 +44,9 @@
 def downstream_urgency(urgency: Urgency) -> Urgency:
     """Return the urgency of a call at a stage that reads results of an earlier stage.
 
-    >>> begun_urgency(Urgency((1, 0), 2.0)) < begun_urgency(Urgency((1, 2), 1.9))
+    >>> downstream_urgency(Urgency((1, 0), 2.0)) < downstream_urgency(Urgency((1, 2), 1.9))
     True
-    >>> begun_urgency(Urgency((1, 2), 1.0)) < begun_urgency(Urgency((1, 0), 2.0))
+    >>> downstream_urgency(Urgency((1, 2), 1.0)) < downstream_urgency(Urgency((1, 0), 2.0))
     True
     """
     later = ROUTE_RANK_DELAY_SECONDS * urgency.rank[1]
--- a/src/corkcrank/contracts/zone_evacuations.py
+++ b/src/corkcrank/contracts/zone_evacuations.py
@@ -26,9 +26,9 @@
     """The newest known state of each zone that was ever evacuated.
 
     >>> zones = ZoneEvacuations()
-    >>> zones.take([ZoneState("a", 5, True)])
+    >>> zones.apply_states([ZoneState("a", 5, True)])
     (ZoneState(zone='a', revision=5, evacuated=True),)
-    >>> zones.take([ZoneState("a", 4, False)]), zones.evacuated
+    >>> zones.apply_states([ZoneState("a", 4, False)]), zones.evacuated
     ((), frozenset({'a'}))
     """
 
