--- a/src/corkcrank/node/callers/listener_state.py
+++ b/src/corkcrank/node/callers/listener_state.py
@@ -2,7 +2,7 @@
 
 A gateway is ready while it serves, listens and accepts. High load does not make it unready. It
 is unready if accepting has failed, or was blocked by the connection limit, for
-``PATIENCE_SECONDS``, until a connection is accepted again or none is waiting.
+``UNREADY_AFTER_SECONDS``, until a connection is accepted again or none is waiting.
 """
 
 import resource
@@ -71,7 +71,7 @@
 
     @property
     def blocked_too_long(self) -> bool:
-        """Return whether accepting has been blocked for more than ``PATIENCE_SECONDS``."""
+        """Return whether accepting has been blocked for more than ``UNREADY_AFTER_SECONDS``."""
         return self.blocked_by is not None and self.blocked_seconds > UNREADY_AFTER_SECONDS
 
     @property
--- a/src/corkcrank/node/process/state_dump.py
+++ b/src/corkcrank/node/process/state_dump.py
@@ -24,7 +24,7 @@
 
 
 class WorkerDump(msgspec.Struct, frozen=True):
-    """A worker as this gateway sees it; ``avoided`` is the seconds for which it gets no calls.
+    """A worker as this gateway sees it; ``avoided`` is the seconds for which it stays avoided.
 
     ``warming`` says whether its rate is limited to what its service permits during warm-up.
     ``rate_limit`` is its limit of requests per second, from warm-up or any other cause.
--- a/tests/platform/callers.py
+++ b/tests/platform/callers.py
@@ -1,4 +1,4 @@
-"""A caller on a raw connection, which it may close in any way and at any step."""
+"""Test fixture: a caller on a raw connection that can be closed in any way, at any step."""
 
 import asyncio
 import socket
@@ -12,21 +12,21 @@
 from platform_standins import StandinStageWorker, StandinWorker
 
 LEAVE_SECONDS = 0.5
-"""Longest time from a caller's close until nothing is at work for it."""
+"""Maximum time from a caller's disconnect until no work is done for it."""
 
 Served = dict[str, tuple[StandinWorker | StandinStageWorker, str]]
 
 
 @dataclass
 class Caller:
-    """One connection; ``left_at`` is when it was closed."""
+    """One caller's connection; ``left_at`` is the time at which it was closed."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     left_at: float = 0.0
 
     def send(self, path: str, headers: Mapping[str, str] | None = None, body: bytes = b"") -> None:
-        """Send a request; a body shorter than its length comes by ``headers``."""
+        """Send a request; ``headers`` may declare a longer body than is sent."""
         self.writer.write(request_bytes(path, headers, body))
 
     def leave(self, how: str = "close") -> None:
@@ -44,12 +44,12 @@
         self.writer.close()
 
     async def half_a_second_later(self) -> None:
-        """Wait until the time is over within which work for this caller must end."""
+        """Wait until the time limit for ending work for this caller has passed."""
         await until(lambda: time.monotonic() >= self.left_at + LEAVE_SECONDS)
 
 
 def request_bytes(path: str, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
-    """Return a request like a client's: own attempt id, key, deadline."""
+    """Return a request like a client's, with an attempt id, a key and a deadline."""
     fields = {
         "Host": HOST,
         "X-Corkcrank-Attempt-Id": call_id(),
@@ -75,14 +75,14 @@
 
 
 def send_and_close_unread(address: str, data: bytes) -> None:
-    """Connect, send and close before the loop of this process, and so its server, runs."""
+    """Connect, send and close before the event loop of this process, with its server, runs."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port))) as connection:
         connection.sendall(data)
 
 
 async def accepted_callers(running: World, count: int) -> list[socket.socket]:
-    """Return connections that the gateway has accepted; those closed before are not read."""
+    """Return connections that the gateway has accepted; it does not read ones closed earlier."""
     host, port = running.address().rsplit(":", 1)
     server = running.nodes[0].callers
     before = len(server.connections())
@@ -92,14 +92,14 @@
 
 
 def send_and_leave_unread(callers: list[socket.socket], data: Callable[[], bytes]) -> None:
-    """Send and close on accepted connections before the loop of this process runs."""
+    """Send and close on accepted connections before the event loop of this process runs."""
     for caller in callers:
         caller.sendall(data())
         caller.close()
 
 
 def requests_seen(served: Served) -> int:
-    """Return how many requests workers have begun to work on."""
+    """Return how many requests the workers have started."""
     return sum(
         len(worker.seen) if isinstance(worker, StandinWorker) else len(worker.calls)
         for worker, _ in served.values()
@@ -114,7 +114,7 @@
 
 
 async def ends_in_time(running: World) -> None:
-    """Wait until no gateway has a call or a waiting piece, for as long as that may take."""
+    """Wait until no gateway has a call or a waiting piece, for ``LEAVE_SECONDS`` at most."""
 
     def idle() -> bool:
         queues = [queue for node in running.nodes for _, queue in node.stage_owner.queues()]
--- a/tests/platform/process_world.py
+++ b/tests/platform/process_world.py
@@ -1,4 +1,4 @@
-"""One gateway in a process of its own, before a stand-in store and worker on loopback."""
+"""Test fixture: one gateway in a separate process, with a stand-in store and worker."""
 
 import asyncio
 import time
@@ -33,7 +33,7 @@
 
 @dataclass
 class ProcessWorld:
-    """The process, its addresses, and the connections that a test holds open."""
+    """The gateway process, its addresses, and the connections that a test holds open."""
 
     group: ProcessGroup
     store: StandinStore
@@ -51,7 +51,7 @@
         return self.group.log_text(NAME).splitlines()
 
     async def readiness(self) -> int:
-        """Return the status of the balancer's question, 0 without an answer in a second."""
+        """Return the status of a readiness check, 0 without an answer in a second."""
         request = b"GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         return await exchange(self.readiness_address, request, CONNECT_SECONDS)
 
@@ -89,7 +89,7 @@
         return len(self.held_closed())
 
     async def release(self) -> None:
-        """Close the connections held, and wait until they are."""
+        """Close the held connections, and wait until they are closed."""
         for _, writer in self.held:
             writer.transport.abort()
         ends = [writer.wait_closed() for _, writer in self.held]
@@ -98,7 +98,7 @@
 
 
 def request_bytes(*, close: bool = False, body: bytes = b"", length: int | None = None) -> bytes:
-    """Return a call; ``length`` may promise a longer body than is sent."""
+    """Return a call's request; ``length`` may declare a longer body than is sent."""
     size = len(body) if length is None else length
     lines = [
         "POST /safe/x HTTP/1.1",
@@ -120,7 +120,7 @@
 
 
 async def exchange(address: str, data: bytes, seconds: float) -> int:
-    """Return the status of what is answered on a new connection, 0 without an answer."""
+    """Send ``data`` on a new connection and return the response's status, 0 without one."""
     writer = None
     try:
         async with asyncio.timeout(seconds):
@@ -139,7 +139,7 @@
 async def process_world(
     descriptors: int, *, limits: dict[str, Any] | None = None
 ) -> AsyncIterator[ProcessWorld]:
-    """Run a gateway with a lowered limit of descriptors until it is ready, then end it."""
+    """Run a gateway with a reduced limit of descriptors; yield it once it is ready."""
     store, worker = StandinStore(), StandinWorker()
     await store.server.start()
     await worker.server.start()
@@ -184,7 +184,7 @@
 
 
 async def ready(running: ProcessWorld, seconds: float = START_SECONDS) -> None:
-    """Wait until the gateway says that it is ready."""
+    """Wait until the gateway reports that it is ready."""
     give_up_at = time.monotonic() + seconds
     while await running.readiness() != 200:
         assert time.monotonic() < give_up_at, running.group.log_text(NAME)[-2000:]
--- a/tests/platform/test_accepting.py
+++ b/tests/platform/test_accepting.py
@@ -1,9 +1,9 @@
-"""A gateway that says it is ready takes connections.
+"""Tests that a gateway accepts connections whenever it reports that it is ready.
 
-With 400 connections held open before a process of 256 descriptors, the event loop's own server
-called ``accept`` a thousand times in a turn, with a line for each failure (22,000 in five
-seconds), then paused for a second: no caller was served while the flood lasted, and the
-readiness that a balancer asks over an open connection went on as it was.
+The failure: with 400 open connections to a process with 256 file descriptors, the server of
+asyncio called ``accept`` a thousand times per loop iteration, with a log line for each failure
+(22,000 in five seconds), then paused for a second. No caller was served during the flood, while
+readiness checks on a connection that was already open still succeeded.
 """
 
 import asyncio
@@ -45,7 +45,7 @@
 
 
 async def served_within(running: ProcessWorld, seconds: float) -> bool:
-    """Return whether one of the calls that are tried one after the other is served."""
+    """Repeat a call until it is served; return whether it was served in time."""
     try:
         async with asyncio.timeout(seconds):
             while await running.call() != 200:
@@ -55,8 +55,8 @@
     return True
 
 
-class Asked:
-    """The balancer's question over a connection that stays open."""
+class ReadinessProbe:
+    """The load balancer's readiness check on a persistent connection."""
 
     def __init__(self, streams: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> None:
         self.reader, self.writer = streams
@@ -72,12 +72,12 @@
 @pytest.mark.parametrize("kind", FLOODS)
 async def test_callers_are_served_beside_a_flood(kind: str) -> None:
     async with process_world(DESCRIPTORS) as running:
-        asked = Asked(await connect(running.readiness_address))
+        probe = ReadinessProbe(await connect(running.readiness_address))
         await running.hold(FLOOD, FLOODS[kind])
         assert await served_within(running, CONTACT_SECONDS)
         for _ in range(CALLS):
             assert await running.call() == 200
-            assert await asked.status() == await running.readiness() == 200
+            assert await probe.status() == await running.readiness() == 200
         await running.hold(FLOOD // 4, FLOODS[kind])
         assert await served_within(running, CONTACT_SECONDS)
         assert await running.metric("corkcrank_connections") <= DESCRIPTORS / 4
@@ -100,7 +100,7 @@
 
 
 async def all_may_be_closed(running: ProcessWorld) -> None:
-    """Wait until the gateway has every connection held, and none is too young to be closed."""
+    """Wait until the gateway has accepted every held connection and may close any of them."""
     while await running.metric("corkcrank_connections") < len(running.held):
         await asyncio.sleep(0.01)
     held_since = clock.now()
@@ -108,11 +108,13 @@
 
 
 async def test_longest_resting_connections_are_closed_first() -> None:
-    """Connections whose head had begun were closed first in 4 of 18 plays beside load.
+    """Idle connections are closed before those with an incomplete head.
 
-    Between the tenth and the eleventh connection the gateway had paused for longer than a young
-    connection is spared, so that only the first ten could be closed when the place ran out. With a
-    pause of 0.1 s there it came each time. Room is made as soon as the last place is taken.
+    This test failed in 4 of 18 runs under load, as the ones with an incomplete head were closed
+    first. Between the tenth and the eleventh connection the gateway had paused for longer than the
+    minimum age for closing, so only the first ten could be closed when the limit was reached. A
+    pause of 0.1 s there reproduced it each time. The gateway closes connections as soon as the
+    limit is reached.
     """
     async with process_world(DESCRIPTORS) as running:
         await running.hold(10, FLOODS["half a head"])
@@ -125,7 +127,7 @@
 
 
 async def test_after_a_freeze_callers_are_not_kept_waiting_by_those_who_left() -> None:
-    """Nine hundred connections whose callers had left took 0.7 to 1.1 s of the process."""
+    """Accepting 900 connections whose callers had disconnected took 0.7 to 1.1 s."""
     async with process_world(4096) as running:
         running.group.signal("node", signal.SIGSTOP)
         await running.hold(STALE, request_bytes())
@@ -146,7 +148,7 @@
 
 
 class FailingSocket:
-    """A listening socket whose ``accept`` fails as it does without descriptors."""
+    """A listening socket whose ``accept`` fails as if no descriptor were free."""
 
     def __init__(self, real: socket.socket) -> None:
         self._real = real
@@ -172,7 +174,7 @@
         listener._socket = failing  # type: ignore[assignment]
         call = asyncio.create_task(running.call("/safe/x", method="GET"))
         await until(lambda: failing.tries > 0)
-        assert node.ready, "a moment without descriptors is no reason to leave"
+        assert node.ready, "a short lack of descriptors does not make the gateway unready"
         await until(lambda: not node.ready)
         assert node.life.state == "serving"
         assert failing.tries < 20 * (UNREADY_AFTER_SECONDS + 1.0)
@@ -197,7 +199,7 @@
         state.connection_limit = MIN_CONNECTION_LIMIT
         calls = [_call(running) for _ in range(MIN_CONNECTION_LIMIT)]
         await until(lambda: len(one.seen) == len(calls))
-        assert node.ready, "a busy gateway is ready"
+        assert node.ready, "a gateway under load is ready"
         waiting = _call(running)
         await until(lambda: state.blocked_by is BlockCause.CONNECTIONS)
         await until(lambda: not node.ready)
@@ -221,7 +223,7 @@
     assert not state.has_capacity
     state.mark_blocked(BlockCause.CONNECTIONS)
     state.open_connections = 159
-    assert not state.has_capacity, "some places have to be free"
+    assert not state.has_capacity, "some capacity has to be free first"
     state.open_connections = 149
     assert state.has_capacity
 
@@ -238,7 +240,7 @@
 
 
 async def test_memory_of_unfinished_heads_is_bounded() -> None:
-    """The library bounds single fields: a head of 40 fields of 60 kB held 4.9 MB."""
+    """aiohttp limits single fields only: a head of 40 fields of 60 kB used 4.9 MB."""
     async with process_world(DESCRIPTORS) as running:
         before = running.resident_bytes
         await running.hold(20, b"POST /safe/x HTTP/1.1\r\n" + 40 * _field(60_000))
--- a/tests/platform/test_callers_connection.py
+++ b/tests/platform/test_callers_connection.py
@@ -1,4 +1,4 @@
-"""What callers send wrongly gets a numbered answer, and the process goes on."""
+"""Tests the handling of malformed requests, slow or idle connections, and drains."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
     assert len(one.seen) == 1
 
 
-async def test_slow_head_and_resting_connection_are_closed() -> None:
+async def test_slow_head_and_idle_connection_are_closed() -> None:
     async with world(configuration(1, ROUTES), {"one": (StandinWorker(), "plain")}) as running:
         assert await exchange(running, b"GET /safe/x HTTP/1.1\r\nHo") == b""
         assert await exchange(running, b"") == b""
@@ -75,7 +75,7 @@
         await until(lambda: not running.nodes[0].callers.connections())
 
 
-async def test_drain_says_not_ready_tells_connections_to_close_and_ends_calls() -> None:
+async def test_drain_reports_not_ready_closes_connections_and_ends_calls() -> None:
     hold = asyncio.Event()
     one = StandinWorker(hold=hold)
     async with world(configuration(1, ROUTES), {"one": (one, "plain")}, grace=6.0) as running:
@@ -101,7 +101,7 @@
         host, port = running.address().rsplit(":", 1)
         reader, writer = await asyncio.open_connection(host, int(port))
         await until(lambda: len(callers.connections()) == 1)
-        # Bytes arrive, and before the loop turns the drain looks for resting connections.
+        # Bytes arrive, and the drain checks for idle connections in the same loop iteration.
         callers.connections()[0].data_received(f"GET /safe/x HTTP/1.1\r\n{HEAD}\r\n".encode())
         assert callers.in_flight == 1
         callers.close_idle_connections(-1.0)
--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -1,4 +1,4 @@
-"""A caller who leaves one gateway while another works for its call: the close travels on."""
+"""Tests that a caller's disconnect cancels work that another gateway does for its call."""
 
 import asyncio
 import socket
@@ -54,7 +54,7 @@
 
 @dataclass
 class Pair:
-    """Two gateways before stage workers; ``owner`` fills those of the first stage."""
+    """Two gateways with stage workers; ``owner`` owns the queues of the first stage."""
 
     running: World
     served: Served
@@ -89,7 +89,7 @@
         yield Pair(running, served, encode, rerank, model, owner_of(running, encode))
 
 
-async def nothing_is_sent_on(two: Pair, caller: Caller) -> None:
+async def no_further_request_is_sent(two: Pair, caller: Caller) -> None:
     """Check that the call ends in time and that no worker gets a request later."""
     await ends_in_time(two.running)
     before = requests_seen(two.served)
@@ -128,7 +128,7 @@
         gate.set()
         await until(lambda: not two.owner.stage_owner.busy and not results_held(two.served))
         assert len(two.encode.made) == 2
-        await nothing_is_sent_on(two, caller)
+        await no_further_request_is_sent(two, caller)
         assert requests_seen(two.served) == 1
 
 
@@ -142,7 +142,7 @@
         gate.set()
         await until(lambda: len(two.encode.made) == 2)
         caller.leave()
-        await nothing_is_sent_on(two, caller)
+        await no_further_request_is_sent(two, caller)
         await until(lambda: not two.encode.held)
         follow.set()
         await until(lambda: not two.owner.stage_owner.busy and not results_held(two.served))
@@ -169,7 +169,7 @@
             caller.leave()
             await ends_in_time(two.running)
             answer.set()
-            await nothing_is_sent_on(two, caller)
+            await no_further_request_is_sent(two, caller)
         assert not two.model.seen
         assert not owner._peer_server._engine_owner._grants.tokens_being_read(clock.now())
 
@@ -177,9 +177,9 @@
 async def test_pieces_asked_for_by_a_gateway_that_gave_up_unread_are_not_made(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Pieces went out to their worker in the turn in which the owner read the question.
+    """Pieces were sent to their worker in the loop iteration that read the peer's request.
 
-    The close that had come with it was seen a turn later.
+    The close of its connection, received with it, was detected one iteration later.
     """
     async with pair(asyncio.Event()) as two:
         # The owner knows its worker, so that nothing but the close is in the way.
@@ -191,7 +191,7 @@
         await until(lambda: clock.now() > left_at + LEAVE_SECONDS)
         assert not two.encode.calls
         assert two.waiting() == 0
-        assert caplog.records == [], "an asker that has gone is no fault"
+        assert caplog.records == [], "a peer that has disconnected is not a fault"
 
 
 def piece_work(worker: StandinStageWorker) -> StageWork:
@@ -211,14 +211,14 @@
 
 
 def pieces_request(worker: StandinStageWorker) -> bytes:
-    """Return what a gateway sends to the owner of a worker to have two pieces made."""
+    """Return the request of a gateway to the owner of a worker to run two pieces."""
     body = msgspec.msgpack.encode(piece_work(worker))
     head = f"POST {PIECES_PATH} HTTP/1.1\r\nHost: peer\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 async def test_results_are_freed_where_the_asker_closes_before_its_answer_goes_out() -> None:
-    """An owner handed results to an asker that had closed; they held room for their time."""
+    """Results returned to a disconnected peer used result memory until they expired."""
     gate = asyncio.Event()
     async with pair(gate) as two:
         host, port = two.owner.fleet.local_address.rsplit(":", 1)
@@ -239,7 +239,7 @@
 
 
 async def test_results_are_freed_where_the_caller_leaves_once_their_answer_was_read() -> None:
-    """Results held room for their time if their call ended before it was told of them."""
+    """Results used memory until they expired if their call ended before it processed them."""
     gate = asyncio.Event()
     gate.set()
     async with pair(gate) as two:
@@ -253,7 +253,7 @@
         ) -> bytes | PeerFailure:
             body = await post(address, path, message, **options)
             if path == PIECES_PATH:
-                # The call is cancelled before it is told that the answer is there.
+                # The call is cancelled before it processes the answer that was received.
                 asyncio.get_running_loop().call_soon(call.cancel)
             return body
 
@@ -266,10 +266,10 @@
 
 
 async def test_results_are_freed_where_the_caller_leaves_while_their_answer_is_on_its_way() -> None:
-    """Two results held room for 4 s after the last call, in a soak of planned work only.
+    """Two results used memory for 4 s after the last call, in a soak run of planned work only.
 
-    Their owner had written its answer, and the gateway that asked for them gave its question up
-    before it read it: neither knew that nobody would use them.
+    Their owner had written its answer, and the gateway that had requested them cancelled its
+    request before it read the answer: neither knew that the results were unused.
     """
     gate = asyncio.Event()
     gate.set()
--- a/tests/platform/test_capacity_log.py
+++ b/tests/platform/test_capacity_log.py
@@ -1,4 +1,4 @@
-"""A service that gains or loses workers says so once, with what is left."""
+"""Tests that a change in a service's workers is logged once, with the remaining capacity."""
 
 import json
 from pathlib import Path
@@ -20,7 +20,7 @@
     ]
 
 
-async def test_a_lost_worker_is_told_with_the_capacity_that_is_left(tmp_path: Path) -> None:
+async def test_a_removed_worker_is_logged_with_the_remaining_capacity(tmp_path: Path) -> None:
     one, two = StandinStageWorker(), StandinStageWorker()
     served = {"p": (StandinWorker(), "plain"), "one": (one, "encode"), "two": (two, "encode")}
     async with world(configuration(1, ROUTES), served) as running:
@@ -30,8 +30,8 @@
             await until(lambda: len(node.mirror.workers.usable_workers("encode")) == 1)
             running.store.remove("servers", one.worker_id)
             await until(lambda: node.mirror.workers.get(one.worker_id) is None)
-    (told,) = lines_of(path, "encode")
-    assert (told["workers"], told["before"]) == (1, 2)
-    # Four pieces in 20 ms and 2 ms each.
-    assert told["pieces_a_second"] == 142.9
+    (logged_line,) = lines_of(path, "encode")
+    assert (logged_line["workers"], logged_line["before"]) == (1, 2)
+    # Four pieces take 20 ms plus 2 ms each.
+    assert logged_line["pieces_a_second"] == 142.9
     assert lines_of(path, "plain") == []
--- a/tests/platform/test_drain_admission.py
+++ b/tests/platform/test_drain_admission.py
@@ -1,4 +1,4 @@
-"""A gateway that is stopping admits only what can end before it stops."""
+"""Tests that a draining gateway admits only calls that can end before it stops."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,11 +9,11 @@
 from platform_standins import StandinStageWorker, StandinWorker
 
 GRACE = 2.4
-"""Seconds between the stop and the end of the gateway."""
+"""Grace period of the gateway, in seconds."""
 
 SHORT_EVENTS, LONG_EVENTS = 4, 140
 EVENT_GAP = 0.02
-"""Events of a stream, and seconds between them: 0.1 s and 3 s."""
+"""Interval of events in seconds; the streams take 0.1 s and 3 s."""
 
 ROUTES = [
     route("plain", "safe", "plain"),
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def stopping_soon() -> AsyncIterator[tuple[World, StandinWorker, StandinStageWorker]]:
-    """Run a gateway that has measured a stream of each kind and is not stopping yet."""
+    """Run a gateway that has measured one stream of each kind and is not draining yet."""
     model = StandinWorker(events=LONG_EVENTS, gap=EVENT_GAP)
     brief = StandinWorker(events=SHORT_EVENTS, gap=EVENT_GAP)
     encode = StandinStageWorker()
--- a/tests/platform/test_late_stop.py
+++ b/tests/platform/test_late_stop.py
@@ -1,16 +1,15 @@
-"""A planned stop beside a fleet that is slower than what was learned cuts nobody.
-
-Callers saw streams that ended in the middle, and connections that were closed without any
-answer, 7.6 s after a gateway had been told to stop with a grace of 8 s. Gateways were being
-restarted one after the other, in overlapping series. The order of events: a gateway is told to
-stop; seconds later it reads a call on a connection that the balancer or a caller still gave it;
-it foresees that the call ends in time, from times measured while the fleet was whole, and
-begins it; stages and engines of the smaller fleet take two to five times as long; the end of
-the drain finds the call in its stages or its stream in the middle.
-
-The evidence: in each case the time of the stream or of the stages was above the one foreseen
-(stages 1.36 s for a corrected forecast of 0.9 s; streams of over 3.5 s on a route whose learned
-time let them begin with 3.5 s left), and calls without an answer were all in their stages.
+"""Tests that a planned stop cuts no call while the fleet is slower than the forecasts.
+
+The failure: streams were cut, and connections closed without a response, 7.6 s after a gateway was
+signalled to stop with a grace period of 8 s, while gateways were restarted in overlapping series.
+A draining gateway read a call seconds after the signal, on a connection that the balancer or a
+caller still used. It started the call, because a forecast from times measured on the full fleet
+fitted in the remaining time. With fewer stage workers and engines, stages and streams took two to
+five times as long, so the drain ended during them.
+
+Measured: in each case the time of the stream or of the stages was above the forecast (stages
+1.36 s for a corrected forecast of 0.9 s; streams of over 3.5 s on a route whose observed time
+permitted a start with 3.5 s left). All calls without a response were in their stages.
 """
 
 import asyncio
@@ -25,14 +24,14 @@
 from corkcrank.links.decision_log import LogEvent
 
 GRACE = 2.4
-"""Seconds between the signal and the end of the process."""
+"""Seconds from the signal to the end of the process."""
 
 LATE_SECONDS = 1.4
-"""A call read so long after the signal no longer comes from a balancer that has not noticed."""
+"""Delay after the signal by which the load balancer must have noticed the stop."""
 
 EVENTS = 4
 USUAL_GAP, SLOW_GAP = 0.01, 0.5
-"""Seconds between events while the fleet is whole, and with few engines left."""
+"""Seconds between events with the full fleet, and with few engines left."""
 
 STAGES = [{"service": "encode", "since_revision": [], "byte_length": 1000}]
 CHAIN = [*STAGES, {"service": "rerank", "since_revision": [0], "byte_length": 1000}]
@@ -69,7 +68,7 @@
         await stopped
 
 
-async def test_a_call_whose_stages_outlast_the_drain_is_told_that_it_has_not_run() -> None:
+async def test_a_call_whose_stages_outlast_the_drain_is_answered_as_not_run() -> None:
     engine, encode = StandinWorker(events=EVENTS), StandinStageWorker(gate=asyncio.Event())
     served = {"m": (engine, "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
@@ -86,11 +85,11 @@
         await stopped
 
 
-async def test_results_of_a_call_given_up_at_the_stop_do_not_stay_in_their_workers() -> None:
-    """A result that nobody frees holds room for seconds, which the next owner lacks.
+async def test_results_of_a_call_abandoned_at_the_stop_are_released() -> None:
+    """A result that is not released uses result memory for seconds that the next owner needs.
 
-    Messages that free results were begun after the connections to workers had been closed
-    ("Session is closed" in tasks that nobody awaited, 15 in 12 plays of stops in series).
+    Messages that release results were sent after the connections to workers had been closed
+    ("Session is closed" in tasks that nothing awaited, 15 in 12 runs of stops in series).
     """
     encode, rerank = StandinStageWorker(), StandinStageWorker(gate=asyncio.Event())
     served = {"m": (StandinWorker(), "model"), "e": (encode, "encode"), "r": (rerank, "rerank")}
@@ -141,17 +140,17 @@
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
         call = asyncio.create_task(running.call("/plain/x"))
         await until(lambda: bool(plain.seen))
-        began = clock.now()
-        await running.nodes[0].stop(signalled_at=began - GRACE)
-        assert clock.now() - began < GRACE
+        started_at = clock.now()
+        await running.nodes[0].stop(signalled_at=started_at - GRACE)
+        assert clock.now() - started_at < GRACE
         response = await call
         assert response.status == 504
         assert response.headers["Connection"] == "close"
         assert b'"ran":"unknown"' in await response.read()
 
 
-async def test_a_stream_whose_time_is_over_is_not_said_to_go_on_at_another_worker() -> None:
-    """The log of cut streams told that they were taken up elsewhere, which sent nothing."""
+async def test_a_stream_past_its_deadline_is_not_logged_as_resumed() -> None:
+    """The log of a cut stream said that another worker resumed it, though none sent anything."""
     engine, encode = StandinWorker(events=EVENTS, gap=GRACE), StandinStageWorker()
     served = {"m": (engine, "model"), "e": (encode, "encode")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
--- a/tests/platform/test_node_state.py
+++ b/tests/platform/test_node_state.py
@@ -1,4 +1,4 @@
-"""What operators see of a gateway: the state dump and the metrics."""
+"""Tests the state dump and the metrics of a gateway."""
 
 import json
 
@@ -30,7 +30,7 @@
         return await response.text()
 
 
-async def test_dump_and_metrics_show_what_decides_about_a_call() -> None:
+async def test_dump_and_metrics_show_the_state_that_determines_a_call() -> None:
     served = {
         "p": (StandinWorker(), "plain"),
         "m": (StandinWorker(events=2), "model"),
--- a/tests/platform/test_node_stop.py
+++ b/tests/platform/test_node_stop.py
@@ -1,4 +1,4 @@
-"""A gateway that is told to stop ends, whatever its loops do with their cancellation."""
+"""Tests that a stopping gateway ends even if its loops lose a cancellation."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from platform_standins import StandinWorker
 
 
-async def deaf(times: int) -> None:
-    """Lose some cancellations, as a library does that handles its own time-out then."""
+async def ignore_cancellations(times: int) -> None:
+    """Ignore ``times`` cancellations, like a library that handles its own timeout just then."""
     while True:
         try:
             await asyncio.Event().wait()
@@ -22,7 +22,7 @@
     routes = [route("safe", "safe", "plain")]
     async with world(configuration(1, routes), served) as running:
         node = running.nodes[0]
-        node._loops.append(asyncio.create_task(deaf(2)))
+        node._loops.append(asyncio.create_task(ignore_cancellations(2)))
         await asyncio.sleep(0)
         async with asyncio.timeout(8.0):
             await node.stop()
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,11 +1,10 @@
-"""Signals that come while a process still imports its libraries.
-
-A gateway went on for 7.5 s after SIGTERM, until it was killed, and its log held a traceback: the
-signal had come while it imported its libraries, in a callback of the interpreter's import locks.
-The handler raised an exception, and the interpreter drops those that come up there (``Exception
-ignored in: <function _get_module_lock...>``). Of 2,500 signals at random moments of the imports
-10 were lost like this, and 6 ended the process with status 1, where a library had wrapped the
-exception into one of its own.
+"""Tests signals that arrive while a process imports its libraries.
+
+The failure: a gateway ran for 7.5 s after SIGTERM, until it was killed; its log had a traceback.
+The signal had arrived during the imports, in a callback of the interpreter's import locks. The
+handler raised an exception, and the interpreter drops exceptions raised there (``Exception ignored
+in: <function _get_module_lock...>``). Of 2,500 signals at random times during the imports, 10 were
+lost like this, and 6 ended the process with status 1 because a library had wrapped the exception.
 """
 
 import subprocess
@@ -33,7 +32,7 @@
 @pytest.mark.parametrize(
     ("name", "status", "goes_on"), [("SIGHUP", 3, True), ("SIGTERM", 0, False)]
 )
-def test_a_signal_during_the_start_ends_no_process_with_a_fault(
+def test_a_signal_during_the_start_causes_no_error_exit(
     name: str, status: int, goes_on: bool
 ) -> None:
     code = SIGNALLED.replace("{name}", name)
--- a/tests/platform/test_settings_watcher.py
+++ b/tests/platform/test_settings_watcher.py
@@ -1,4 +1,4 @@
-"""A changed settings file: bounds in force, wrong ones refused, addresses kept."""
+"""Tests a changed settings file: bounds apply, invalid files are rejected, addresses stay."""
 
 from pathlib import Path
 
@@ -33,7 +33,7 @@
 """
 
 
-class Taken:
+class WatchedFile:
     def __init__(self, path: Path) -> None:
         path.write_text(TEXT)
         self.settings: list[NodeSettings] = []
@@ -42,35 +42,35 @@
         self.watcher = SettingsWatcher(path, first, log, self.settings.append)
 
 
-def test_a_change_is_taken_up_once(tmp_path: Path) -> None:
+def test_a_change_is_applied_once(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
-    taken = Taken(path)
-    taken.watcher.reload_if_changed()
-    assert taken.settings == []
+    watched = WatchedFile(path)
+    watched.watcher.reload_if_changed()
+    assert watched.settings == []
     path.write_text(TEXT.replace("50.0", "70.0"))
-    taken.watcher.reload_if_changed()
-    taken.watcher.reload_if_changed()
-    assert [item.bounds.retry_allowance for item in taken.settings] == [70.0]
+    watched.watcher.reload_if_changed()
+    watched.watcher.reload_if_changed()
+    assert [item.bounds.retry_allowance for item in watched.settings] == [70.0]
 
 
 @pytest.mark.parametrize("text", ["[process", "[process]", TEXT.replace("50.0", '"many"')])
-def test_a_wrong_file_changes_nothing(tmp_path: Path, text: str) -> None:
+def test_an_invalid_file_changes_nothing(tmp_path: Path, text: str) -> None:
     path = tmp_path / "node.toml"
-    taken = Taken(path)
+    watched = WatchedFile(path)
     path.write_text(text)
-    taken.watcher.reload_if_changed()
+    watched.watcher.reload_if_changed()
     path.unlink()
-    taken.watcher.reload_if_changed()
-    assert taken.settings == []
+    watched.watcher.reload_if_changed()
+    assert watched.settings == []
 
 
-def test_the_log_tells_what_waits_for_the_next_start(
+def test_the_log_names_the_sections_that_apply_at_the_next_start(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "node.toml"
-    taken = Taken(path)
+    watched = WatchedFile(path)
     log = DecisionLog(BoundedOutput(), "n")
-    watcher = SettingsWatcher(path, load_node_settings(path).ok, log, taken.settings.append)
+    watcher = SettingsWatcher(path, load_node_settings(path).ok, log, watched.settings.append)
     path.write_text(TEXT.replace("127.0.0.1:5", "127.0.0.1:6"))
     watcher.reload_if_changed()
     assert '"waits_for_next_start": ["store"]' in capfd.readouterr().out
@@ -100,5 +100,5 @@
 
 
 @pytest.mark.parametrize("line", ["file_descriptors = -1", "memory_mb = -0.5", "cores = 2"])
-def test_wrong_limits_are_refused(line: str) -> None:
+def test_invalid_limits_are_rejected(line: str) -> None:
     assert parse_node_settings(f"{TEXT}[limits]\n{line}\n", "f").is_error()
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -1,8 +1,9 @@
-"""The last moments of a stop: every request that was read gets one whole answer.
+"""Tests that at the end of a stop every request that was read gets one complete response.
 
-Each of these calls was once closed without an answer, answered twice or held for nothing when
-a drain ended: requests read but not begun, bodies half read, answers half written, an answer
-begun in the turn of the loop in which the drain gave its call up, pieces queued for others.
+Each of these requests was once closed without a response, answered twice or delayed needlessly at
+the end of a drain: requests read whose handler had not started, incomplete bodies, partly written
+responses, a response started in the loop iteration in which the drain abandoned its call, and
+pieces queued for other gateways.
 """
 
 import asyncio
@@ -39,16 +40,16 @@
 from corkcrank.node.streams.stream_answer import StreamAnswer
 
 GRACE = 1.6
-"""Seconds between the signal and the end of the process; the drain ends 0.4 s earlier."""
+"""Seconds from the signal to the end of the process; the drain ends 0.4 s earlier."""
 
 STALL_SECONDS = 0.3
-"""Time for which the loop is held up over the end of a drain."""
+"""Time for which the event loop is blocked across the end of a drain."""
 
 LARGE_BYTES = 30_000_000
-"""An answer that fits in no buffer of a connection on loopback."""
+"""Size of a response that exceeds all buffers of a loopback connection."""
 
 PIECE_BYTES = 500_000
-"""What a slow caller reads at a time."""
+"""Number of bytes that a slow caller reads at a time."""
 
 STAGES = [{"service": "encode", "since_revision": [], "byte_length": 1000}]
 ROUTES = [
@@ -71,7 +72,7 @@
     return "\r\n".join([f"POST {path} HTTP/1.1", *fields, "", ""]).encode()
 
 
-def hold_up_the_loop() -> None:
+def block_event_loop() -> None:
     time.sleep(STALL_SECONDS)
 
 
@@ -80,7 +81,7 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def test_an_answer_that_begins_as_its_call_is_given_up_has_one_head(
+async def test_an_answer_that_begins_as_its_call_is_abandoned_has_one_head(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     served = {"m": (StandinWorker(events=4, gap=0.3), "model")}
@@ -88,7 +89,7 @@
         open_calls = running.nodes[0].call_handler.open_calls
         original = StreamAnswer._record_pause
 
-        def give_up_now(answer: StreamAnswer) -> None:
+        def abandon_now(answer: StreamAnswer) -> None:
             if answer._call.first_byte_at is None:
                 open_calls.abandon_unanswered()
             original(answer)
@@ -105,7 +106,7 @@
         writer.close()
 
 
-async def test_a_request_whose_body_had_not_come_is_answered() -> None:
+async def test_a_request_with_an_incomplete_body_is_answered() -> None:
     served = {"p": (StandinWorker(), "plain")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
         reader, writer = await opened(running)
@@ -120,7 +121,7 @@
 
 
 async def test_a_request_read_as_the_drain_ends_is_answered() -> None:
-    """The loop is held up over the end; the request waits in the connection meanwhile."""
+    """The event loop is blocked across the end while the request waits in the socket buffer."""
     model = StandinWorker(events=400, gap=0.05)
     served = {"m": (model, "model"), "p": (StandinWorker(), "plain")}
     async with world(configuration(1, ROUTES), served, grace=GRACE) as running:
@@ -141,7 +142,7 @@
             target=caller.sendall, args=(head("/plain/x", "Content-Length: 0"),)
         )
         send.start()
-        hold_up_the_loop()
+        block_event_loop()
         await stopped
         send.join()
         assert caller.recv(12).startswith(b"HTTP/1.1 ")
@@ -150,9 +151,9 @@
 
 
 async def test_a_call_read_as_an_idle_drain_ends_is_served() -> None:
-    """Calls of planned restarts were given up after 0.04 s, with 2.9 s of the grace left.
+    """Calls in planned restarts were abandoned after 0.04 s, with 2.9 s of the grace period left.
 
-    A drain that finds nothing in flight ends early; a call was read in that moment.
+    A drain that finds nothing in flight ends early; a call was read just then.
     """
     plain = StandinWorker(hold=asyncio.Event())
     served = {"p": (plain, "plain")}
@@ -256,7 +257,7 @@
 
 
 async def test_a_stop_gives_back_what_waits_for_others_and_keeps_its_grace() -> None:
-    """A stop beside one piece of another gateway took 0.04 s longer than its grace."""
+    """A stop while one piece of another gateway ran took 0.04 s longer than the grace period."""
     model, encode = StandinWorker(events=400, gap=0.05), StandinStageWorker(gate=asyncio.Event())
     served = {"m": (model, "model"), "e": (encode, "encode")}
     services = [
@@ -308,8 +309,8 @@
         await response.read()
 
 
-async def test_the_time_of_a_signal_is_its_own_and_not_when_the_loop_sees_it() -> None:
-    """A signal in a stall of 1.5 s was noted 1.5 s late, so the drain outlasted its grace."""
+async def test_the_time_of_a_signal_does_not_depend_on_the_event_loop() -> None:
+    """A signal in a stall of 1.5 s was recorded 1.5 s late: the drain exceeded its grace period."""
     loop = asyncio.get_running_loop()
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
     try:
--- a/tests/platform/test_stop_log.py
+++ b/tests/platform/test_stop_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of a stop: which calls it met, and how each of them ended."""
+"""Tests the log of a stop: which calls were in progress, and how each of them ended."""
 
 import asyncio
 from pathlib import Path
@@ -17,7 +17,7 @@
 from corkcrank.reports.stops import End, Read, report_stops
 
 GRACE = 1.6
-"""Seconds between the signal and the end of the process."""
+"""Seconds from the signal to the end of the process."""
 
 STREAM_TOKENS = {"X-Corkcrank-Token-Count": "10,4"}
 
@@ -25,14 +25,14 @@
 
 
 def log_of(running: World) -> Lines:
-    """Keep the lines that the gateway writes from now on."""
+    """Collect the log lines that the gateway writes from now on."""
     lines: Lines = []
     log = running.nodes[0]._log
 
-    def note(event: LogEvent, **fields: Any) -> None:
+    def record_line(event: LogEvent, **fields: Any) -> None:
         lines.append((event, fields))
 
-    log.write = note  # type: ignore[method-assign]
+    log.write = record_line  # type: ignore[method-assign]
     return lines
 
 
@@ -42,7 +42,7 @@
     return found[0]
 
 
-async def test_the_log_tells_when_the_signal_came_and_what_was_foreseen() -> None:
+async def test_the_log_has_the_time_of_the_signal_and_the_forecasts() -> None:
     served = {"m": (StandinWorker(events=4), "model")}
     async with world(configuration(1, [route("s", "stream", "model")]), served, grace=GRACE) as run:
         lines = log_of(run)
@@ -54,13 +54,13 @@
         await stopped
     assert only(lines, LogEvent.STOPPING)["signal_age"] >= 0.25
     assert only(lines, LogEvent.DRAINED)["in_flight"] == 0
-    looks = [fields for kind, fields in lines if kind is LogEvent.CALL_ADMITTED_STOPPING]
-    assert len(looks) == 2, "one look at admission, one before the engine gets the call"
-    assert all(look["engine"] + look["stream"] < look["left"] for look in looks)
+    checks = [fields for kind, fields in lines if kind is LogEvent.CALL_ADMITTED_STOPPING]
+    assert len(checks) == 2, "one check at admission, one before the engine gets the call"
+    assert all(check["engine"] + check["stream"] < check["left"] for check in checks)
     assert only(lines, LogEvent.CALL_ENDED)["after_signal"] >= 0.25
 
 
-async def test_a_caller_that_left_is_told_apart_from_a_stream_that_the_stop_cut() -> None:
+async def test_a_caller_that_left_is_distinguished_from_a_stream_that_the_stop_cut() -> None:
     hold = asyncio.Event()
     engine = StandinWorker(events=400, gap=0.05)
     served = {"p": (StandinWorker(hold=hold), "plain"), "m": (engine, "model")}
