--- a/src/corkcrank/gateway/plain_run.py
+++ b/src/corkcrank/gateway/plain_run.py
@@ -29,7 +29,7 @@
 from corkcrank.gateway.answer_checks import answers_plain
 from corkcrank.gateway.claim_store import ClaimStore
 from corkcrank.gateway.dispatch import Dispatcher
-from corkcrank.links.back_ends import PLAIN_RESULT_TIMEOUT_SECONDS, PossiblySent, NotSent
+from corkcrank.links.back_ends import PLAIN_RESULT_TIMEOUT_SECONDS, NotSent, PossiblySent
 
 READ_PAUSE_SECONDS = 0.1
 """Pause before a claim's row is read again."""
--- a/src/corkcrank/links/back_ends.py
+++ b/src/corkcrank/links/back_ends.py
@@ -1,7 +1,7 @@
 """HTTP client for back ends.
 
 A failed call returns how far it got: :class:`NotSent` only if no connection was made or the
-back end refused the call, :class:`Broken` for any later failure. Nothing here retries.
+back end refused the call, :class:`PossiblySent` for any later failure. Nothing here retries.
 """
 
 from collections.abc import AsyncGenerator
@@ -140,7 +140,7 @@
     async def send_order(
         self, address: str, order: ModelOrder
     ) -> LoadReport | NotSent | PossiblySent:
-        """Send a fenced order; returns the actual state of the back end."""
+        """Send a fenced order; return the actual state of the back end."""
         return await _post(
             self._session, address, "/v1/orders", order, LoadReport, ORDER_TIMEOUT_SECONDS
         )
--- a/src/corkcrank/links/datagrams.py
+++ b/src/corkcrank/links/datagrams.py
@@ -39,7 +39,7 @@
         self._socket: socket.socket | None = None
 
     async def open(self, address: str) -> None:
-        """Bind to ``ip:port`` and starts receiving."""
+        """Bind to ``ip:port`` and start receiving."""
         host, port = address.rsplit(":", 1)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
@@ -47,7 +47,7 @@
         self._read()
 
     def send(self, data: bytes, address: str) -> None:
-        """Send one datagram without waiting; drops it if the send buffer is full."""
+        """Send one datagram without waiting; drop it if the send buffer is full."""
         if self._socket is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         host, port = address.rsplit(":", 1)
@@ -62,7 +62,7 @@
             self._socket = None
 
     def _read(self) -> None:
-        """Handle the datagrams received so far and schedules the next read."""
+        """Handle the datagrams received so far and schedule the next read."""
         if self._socket is None:
             return
         # Scheduled first, so that an error in a message handler does not end the reads.
--- a/src/corkcrank/links/decision_log.py
+++ b/src/corkcrank/links/decision_log.py
@@ -111,7 +111,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Buffer one line, or leaves it out if the buffer is full."""
+        """Buffer one line, or leave it out if the buffer is full."""
         if self._bytes + len(line) > self._limit:
             self.left_out += 1
             return
--- a/src/corkcrank/links/platform_ports.py
+++ b/src/corkcrank/links/platform_ports.py
@@ -167,7 +167,7 @@
     """Rows, or changes of rows, as of ``revision``.
 
     ``store_time`` is the time of the answer on the store's monotonic clock, in seconds.
-    ``nameless`` lists the errors of rows whose key cannot be decoded.
+    ``unreadable_keys`` lists the errors of rows whose key cannot be decoded.
     """
 
     rows: tuple[StoreRow, ...]
@@ -208,7 +208,7 @@
     on_silence: SilenceListener
 
     def drop_all_idle(self) -> int:
-        """Close all idle connections; returns their number."""
+        """Close all idle connections; return their number."""
 
     async def read(self, table: StoreTable) -> StoreRows | StoreFailure:
         """Return a consistent snapshot of all rows of a table."""
@@ -219,10 +219,10 @@
         """Return the changes after revision ``since``, or no rows if the wait expires."""
 
     async def put(self, table: StoreTable, key: str, value: bytes) -> int | StoreFailure:
-        """Write one row unconditionally; returns its revision."""
+        """Write one row unconditionally; return its revision."""
 
     async def remove(self, table: StoreTable, key: str) -> int | StoreFailure:
-        """Remove one row if it exists; returns the revision."""
+        """Remove one row if it exists; return the revision."""
 
 
 class DocumentCodec(Protocol):
--- a/src/corkcrank/links/silence.py
+++ b/src/corkcrank/links/silence.py
@@ -43,7 +43,7 @@
 
 
 def drop_all_idle(session: aiohttp.ClientSession) -> int:
-    """Close every idle connection of a session; returns their number.
+    """Close every idle connection of a session; return their number.
 
     Used after a suspension of the machine, when peers have closed or lost these connections.
     """
@@ -55,7 +55,7 @@
 
 
 def drop_idle(session: aiohttp.ClientSession, address: str) -> int:
-    """Close the idle connections of a session to ``ip:port``; returns their number.
+    """Close the idle connections of a session to ``ip:port``; return their number.
 
     It is unknown when the silence of a busy connection began, so no idle connection is
     trusted that was last used before now. Busy connections have their own deadlines.
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -19,9 +19,9 @@
     DocumentCodec,
     MetadataStore,
     StoreFailure,
+    StoreFailureReason,
     StoreRows,
     StoreTable,
-    StoreFailureReason,
 )
 from corkcrank.machines.entry_reader import EntryReader
 from corkcrank.machines.lapsed_entries import LapsedEntries
--- a/src/corkcrank/platform/store.py
+++ b/src/corkcrank/platform/store.py
@@ -8,10 +8,10 @@
 
 from corkcrank.links.platform_ports import (
     StoreFailure,
+    StoreFailureReason,
     StoreRow,
     StoreRows,
     StoreTable,
-    StoreFailureReason,
     Unreadable,
 )
 from corkcrank.links.silence import (
--- a/src/corkcrank/zones/zone_state.py
+++ b/src/corkcrank/zones/zone_state.py
@@ -96,7 +96,7 @@
             self._remote[digest.zone] = digest
 
     def prune_silent(self, now: float) -> None:
-        """Remove expired members and reports, and rebuilds the tables."""
+        """Remove expired members and reports, and rebuild the tables."""
         intervals = {role: self.heartbeat_interval(role) for role in (REPORTING_ROLE, "gateway")}
         self._members = {
             name: member
--- a/tests/platform/test_store_pages.py
+++ b/tests/platform/test_store_pages.py
@@ -18,7 +18,7 @@
 from aiohttp import web
 from platform_standins import Server
 
-from corkcrank.links.platform_ports import StoreFailure, StoreRows, StoreTable, StoreFailureReason
+from corkcrank.links.platform_ports import StoreFailure, StoreFailureReason, StoreRows, StoreTable
 from corkcrank.platform.store import PlatformStore
 
 TIMEOUT = 0.5
