--- a/tests/platform/test_callers_leave_owners.py
+++ b/tests/platform/test_callers_leave_owners.py
@@ -182,7 +182,7 @@
     The close of its connection, received with it, was detected one iteration later.
     """
     async with pair(asyncio.Event()) as two:
-        # The owner knows its worker, so that nothing but the close is in the way.
+        # The owner knows its worker, so that only the close prevents the pieces from running.
         two.owner.stage_owner.free_results(two.encode.worker_id, [])
         await until(lambda: two.encode.reports > 0)
         left_at = clock.now()
@@ -288,7 +288,7 @@
                 await asyncio.Event().wait()
             return body
 
-        dispatch.owner_client._peers.request = post_to_a_slow_link  # type: ignore[method-assign, assignment]
+        dispatch.owner_client._peers.request = post_slowly  # type: ignore[method-assign, assignment]
         call = asyncio.create_task(dispatch.run_pieces(worker, piece_work(two.encode)))
         await written.wait()
         assert len(two.encode.held) == 2
--- a/tests/platform/test_stop_ends.py
+++ b/tests/platform/test_stop_ends.py
@@ -94,7 +94,7 @@
                 open_calls.abandon_unanswered()
             original(answer)
 
-        monkeypatch.setattr(StreamAnswer, "_record_pause", give_up_now)
+        monkeypatch.setattr(StreamAnswer, "_record_pause", abandon_now)
         reader, writer = await opened(running)
         writer.write(head("/brief/x", "X-Corkcrank-Token-Count: 10,4", "Content-Length: 0"))
         try:
