--- a/src/corkcrank/cli/__init__.py
+++ b/src/corkcrank/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line for operators."""
--- a/src/corkcrank/cli/controller_client.py
+++ b/src/corkcrank/cli/controller_client.py
@@ -1,4 +1,4 @@
-"""The command line's calls to controllers."""
+"""HTTP client of the command line for controllers and nodes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,19 +14,19 @@
 from corkcrank.controller.routes import FailureView, StatusView
 
 TIMEOUT_SECONDS = 10.0
-"""Longest wait for a controller; a confirm may take some seconds to settle."""
+"""Timeout of a call to a controller; a confirm may take some seconds of retries."""
 
 _BodyT = TypeVar("_BodyT")
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerClient:
-    """Talks to one controller at ``ip:port``."""
+    """Calls one controller or node at ``ip:port``."""
 
     address: str
 
     def draw(self, intent: Intent) -> Result[PlanView, FailureView]:
-        """Ask for a plan."""
+        """Create a plan from an intent."""
         return self._run("POST", "/operator/plans", msgspec.json.encode(intent), PlanView)
 
     def confirm(self, plan_id: str) -> Result[ConfirmAnswer, FailureView]:
@@ -35,15 +35,15 @@
         return self._run("POST", path, b"", ConfirmAnswer)
 
     def status(self) -> Result[StatusView, FailureView]:
-        """Ask which versions are in force."""
+        """Return which versions are in force."""
         return self._run("GET", "/operator/status", b"", StatusView)
 
     def dump(self) -> Result[dict[str, object], FailureView]:
-        """Ask for the state of any process."""
+        """Return the state of any process."""
         return self._run("GET", "/dump", b"", dict[str, object])
 
     def release_request(self, request: str) -> Result[ReleaseAnswer, FailureView]:
-        """Have a node free a quarantined request."""
+        """Release a quarantined request through a node."""
         return self._run("POST", RELEASE_REQUEST_PATH, request.encode(), ReleaseAnswer)
 
     def _run(
--- a/src/corkcrank/cli/exit_codes.py
+++ b/src/corkcrank/cli/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a script may tell a command's end by."""
+    """Exit status of a command, for scripts."""
 
     OK = 0
     USAGE = 2
@@ -31,7 +31,7 @@
 
 
 def exit_code_for(result_number: int) -> ExitCode:
-    """Return the exit status that tells a numbered result.
+    """Return the exit status for the number of a result code.
 
     >>> exit_code_for(5001)
     <ExitCode.STALE: 4>
--- a/src/corkcrank/cli/explain.py
+++ b/src/corkcrank/cli/explain.py
@@ -1,4 +1,4 @@
-"""``corkcrank explain``: what the logs of all machines say of one call, in one story."""
+"""``corkcrank explain``: collects the log lines about one call from all machines."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -9,7 +9,7 @@
 from corkcrank.reports.log_records import LogRecord, read_all, time_of
 
 UNSHOWN = frozenset(("event", "time", "process", "call", "calls"))
-"""Fields that the line's own columns show already."""
+"""Fields that the columns of the line already show."""
 
 
 def explain_call(call: str, files: Iterable[Path]) -> list[str]:
--- a/src/corkcrank/cli/log_commands.py
+++ b/src/corkcrank/cli/log_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read the log files of nodes: one call's story, losses, planned stops."""
+"""Commands that analyse the log files of nodes: single calls, losses and planned stops."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def explain(call: str, files: list[Path]) -> None:
-    """Tell what log files say of one call or quarantined request, across machines, by time.
+    """Print the log lines about one call or quarantined request from all machines, by time.
 
     Example: corkcrank explain 9c41d07be2a35f68 logs/*.log
     """
@@ -28,10 +28,10 @@
 
 def losses(
     files: list[Path],
-    plot: Path | None = typer.Option(None, help="Also write a picture, e.g. losses.png."),
-    least_calls: int = typer.Option(1, help="Leave out routes with fewer calls."),
+    plot: Path | None = typer.Option(None, help="Also write a plot, e.g. losses.png."),
+    least_calls: int = typer.Option(1, help="Omit routes with fewer calls."),
 ) -> None:
-    """Tell from all nodes' log files where calls were lost or late, and why.
+    """Report from all nodes' log files where calls were lost or late, and why.
 
     Example: corkcrank losses logs/*.log --plot losses.png
     """
@@ -48,7 +48,7 @@
 
 
 def stops(files: list[Path]) -> None:
-    """Tell from all nodes' log files which calls planned stops met, and how they ended.
+    """Report from all nodes' log files which calls planned stops affected, and how they ended.
 
     Example: corkcrank stops logs/*.log
     """
--- a/src/corkcrank/cli/operator.py
+++ b/src/corkcrank/cli/operator.py
@@ -1,6 +1,6 @@
-"""``corkcrank``: the operators' command line.
+"""``corkcrank``: the command line for operators.
 
-State an intent with ``plan``, read what it changes, and put it in force with ``confirm``.
+Create a plan with ``plan``, check its changes, and apply it with ``confirm``.
 """
 
 import tomllib
@@ -31,7 +31,7 @@
 from corkcrank.controller.routes import FailureView, StatusView
 
 application = typer.Typer(no_args_is_help=True, help=__doc__, rich_markup_mode=None)
-plan_application = typer.Typer(no_args_is_help=True, help="Draw a plan from an intent.")
+plan_application = typer.Typer(no_args_is_help=True, help="Create a plan from an intent.")
 application.add_typer(plan_application, name="plan")
 for command in (log_commands.explain, log_commands.losses, log_commands.stops):
     application.command()(command)
@@ -93,11 +93,11 @@
 @plan_application.command("drain")
 def plan_drain(
     worker: str,
-    undo: bool = typer.Option(False, "--undo", help="Let it have work again."),
+    undo: bool = typer.Option(False, "--undo", help="Give it work again."),
     controller: str = CONTROLLER,
     as_json: bool = AS_JSON,
 ) -> None:
-    """Give a back end no new work.
+    """Stop sending new work to a back end.
 
     Example: corkcrank plan drain tax-llm-3 -c 10.0.0.1:9000
     """
@@ -111,7 +111,7 @@
     controller: str = CONTROLLER,
     as_json: bool = AS_JSON,
 ) -> None:
-    """State the models that an engine shall hold.
+    """Set the models that an engine must hold.
 
     Example: corkcrank plan place tax-llm-3 tax-8b tax-70b -c 10.0.0.1:9000
     """
@@ -120,7 +120,7 @@
 
 @application.command()
 def confirm(plan_id: str, controller: str = CONTROLLER, as_json: bool = AS_JSON) -> None:
-    """Put a plan in force, if nothing changed since it was drawn.
+    """Apply a plan, if nothing has changed since it was created.
 
     Example: corkcrank confirm 3f2a9c01d4e5 -c 10.0.0.1:9000
     """
@@ -169,7 +169,7 @@
 
 @application.command("release-request")
 def release_request(address: str, request: str) -> None:
-    """Free a quarantined request by its fingerprint, at every node; a node's peer address.
+    """Release a quarantined request at every node, by its fingerprint and a node's peer address.
 
     Example: corkcrank release-request 10.0.0.1:7740 5f0c2d9e81a3b764
     """
@@ -182,8 +182,8 @@
 @application.command()
 def check(
     settings: list[Path],
-    gateway: bool = typer.Option(False, "--gateway", help="The files are of gateways."),
-    node: bool = typer.Option(False, "--node", help="The files are of nodes (opaque calls)."),
+    gateway: bool = typer.Option(False, "--gateway", help="The files are gateway settings."),
+    node: bool = typer.Option(False, "--node", help="The files are node settings (opaque calls)."),
 ) -> None:
     """Check settings files without starting anything.
 
@@ -191,7 +191,7 @@
     """
     wrong = False
     for path in settings:
-        failure = _settings_failure(path, gateway=gateway, node=node)
+        failure = _check_settings(path, gateway=gateway, node=node)
         if failure is not None:
             print(f"error {failure.code.number} {failure.code.name}: {failure.detail}")
             wrong = True
@@ -200,7 +200,7 @@
     raise typer.Exit(ExitCode.INVALID if wrong else ExitCode.OK)
 
 
-def _settings_failure(path: Path, *, gateway: bool, node: bool) -> Failure | None:
+def _check_settings(path: Path, *, gateway: bool, node: bool) -> Failure | None:
     if node:
         result = load_node_settings(path)
         return result.error if result.is_error() else None
@@ -260,17 +260,17 @@
 
 
 def _all_statuses(controller: str, as_json: bool) -> list[StatusView]:
-    waiting = [controller]
-    asked: dict[str, StatusView] = {}
-    while waiting:
-        address = waiting.pop()
+    pending = [controller]
+    views: dict[str, StatusView] = {}
+    while pending:
+        address = pending.pop()
         result = ControllerClient(address).status()
         if result.is_ok():
-            asked[address] = result.ok
-            waiting += [item.address for item in result.ok.holders if item.address not in asked]
-        elif not asked:
+            views[address] = result.ok
+            pending += [item.address for item in result.ok.holders if item.address not in views]
+        elif not views:
             _fail(result.error, as_json)
-    return sorted(asked.values(), key=lambda view: (view.zone, not view.publishes))
+    return sorted(views.values(), key=lambda view: (view.zone, not view.publishes))
 
 
 def _print_statuses(views: list[StatusView]) -> None:
--- a/src/corkcrank/controller/__init__.py
+++ b/src/corkcrank/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The program that looks after zones and services."""
+"""The controller: publishes its zone's state, orders models and serves operators' plans."""
--- a/src/corkcrank/controller/planning.py
+++ b/src/corkcrank/controller/planning.py
@@ -1,8 +1,8 @@
-"""Plan and confirm against the table.
+"""Creates configuration plans and confirms them in the table.
 
-A confirm is one commit on the versions the plan was drawn from. A commit whose answer was
-lost is sent again: its conditions make that harmless, and the plan's own row tells
-whether the first took effect.
+A confirm is one conditional commit on the versions that the plan was based on. A commit
+whose answer was lost is retried. The conditions make the retry harmless, and the plan's row
+shows whether the first commit took effect.
 """
 
 import asyncio
@@ -33,10 +33,10 @@
 from corkcrank.machines.member import head_version
 
 SETTLE_SECONDS = 5.0
-"""Longest time spent on settling a confirm whose answer was lost."""
+"""Maximum time spent on retrying a confirm whose answer was lost."""
 
 SETTLE_PAUSE_SECONDS = 0.2
-"""Pause between tries to settle."""
+"""Pause between retries of a confirm."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,28 +46,28 @@
 
 
 class Planner:
-    """Draws plans and confirms them."""
+    """Creates plans and confirms them."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
 
     async def draw(self, intent: Intent) -> Result[PlanView, Failure]:
-        """Draw a plan from the version now committed, and keep it in the table."""
+        """Create a plan from the committed version and store it in the table."""
         head = await self._read_head()
         if head is None:
             return Error(_table_unavailable())
         return await self._draw_from(head, intent)
 
     async def confirm(self, plan_id: str) -> Result[ConfirmAnswer, Failure]:
-        """Put a plan in force if the version it was drawn from still is."""
-        give_up_at = clock.now() + SETTLE_SECONDS
+        """Apply a plan if the version it is based on is still the committed one."""
+        retry_until = clock.now() + SETTLE_SECONDS
         sent = False
         while True:
             outcome = await self._try_confirm(plan_id)
             if not isinstance(outcome, Unanswered):
                 return outcome
             sent = sent or outcome.reason == "commit"
-            if clock.now() >= give_up_at:
+            if clock.now() >= retry_until:
                 code = ResultCode.CONFIRM_UNKNOWN if sent else ResultCode.TABLE_UNAVAILABLE
                 return Error(Failure(code, outcome.reason, retry_after=1.0))
             await asyncio.sleep(SETTLE_PAUSE_SECONDS)
@@ -119,7 +119,7 @@
             case Unanswered():
                 return Unanswered("commit")
             case _:
-                # Somebody else's confirm, or our own earlier one: the next read tells.
+                # Another confirm, or an earlier commit of this one, won: the next read shows which.
                 return Unanswered("conflict")
 
     async def _answer_stale(self, plan: PlanRow) -> Result[ConfirmAnswer, Failure] | Unanswered:
--- a/src/corkcrank/controller/program.py
+++ b/src/corkcrank/controller/program.py
@@ -1,4 +1,4 @@
-"""``corkcrank-controller``: looks after its zone and answers operators."""
+"""``corkcrank-controller``: the process that manages a zone and serves operators."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 class ControllerDump(msgspec.Struct, frozen=True):
-    """The state of a controller, on request."""
+    """The state of a controller, as returned by ``/dump``."""
 
     member: MemberDump
     publishes: bool
@@ -41,7 +41,7 @@
 
 
 class Controller:
-    """Wires one controller together."""
+    """Builds, starts and stops the parts of one controller process."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -72,7 +72,7 @@
         )
 
     async def start(self) -> None:
-        """Serve peers and operators, and begin to look after the zone."""
+        """Start serving peers and operators, and start the loops that manage the zone."""
         application = web.Application(client_max_size=MAXIMUM_INTENT_BYTES)
         PeerRoutes(
             self.agent, self.dump, self.holder.hear_heartbeat, self._links.traffic
@@ -87,7 +87,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop looking after the zone, give its lease up, and leave."""
+        """Stop managing the zone, release its lease and close all connections."""
         self.life.fire(ProcessTrigger.DRAIN)
         await cancel_all(self._loops)
         await self.holder.release()
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Look after the zone in the settings file named on the command line until SIGTERM."""
+    """Manage the zone of the settings file named on the command line until SIGTERM."""
     settings = read_settings_or_exit("corkcrank-controller", needs_caller_address=False)
     configure_logs(settings.process.name)
     asyncio.run(_run(settings))
--- a/src/corkcrank/controller/routes.py
+++ b/src/corkcrank/controller/routes.py
@@ -1,4 +1,4 @@
-"""The controller's routes for operators and for other zones' holders."""
+"""The controller's HTTP routes for operators and for the lease holders of other zones."""
 
 from typing import TypeVar
 
@@ -15,7 +15,7 @@
 _BodyT = TypeVar("_BodyT", bound=msgspec.Struct)
 
 MAXIMUM_INTENT_BYTES = 1 << 22
-"""Largest intent; a whole configuration of the planned size is about 150 kB."""
+"""Maximum size of an intent; a whole configuration of the planned size is about 150 kB."""
 
 
 class FailureView(msgspec.Struct, frozen=True):
@@ -27,14 +27,14 @@
 
 
 class MemberVersion(msgspec.Struct, frozen=True):
-    """The version in force at one member."""
+    """The configuration version in force at one member."""
 
     member: str
     version: int
 
 
 class HolderView(msgspec.Struct, frozen=True):
-    """The controller that holds a zone, as far as is known."""
+    """The last known holder of a zone's lease."""
 
     zone: str
     address: str
--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -1,7 +1,8 @@
-"""Looks after one zone: lease, digest, orders.
+"""Manages one zone: holds its lease, publishes its digest and sends model orders to workers.
 
-The digest is a hint, so the last holder goes on telling it while the table is away.
-Orders are not: each is sent only while the lease is held for longer than its flight.
+The digest is a hint, so the last holder keeps publishing it while the table is unavailable.
+Orders are not hints: each is sent only if the lease remains valid for longer than the
+maximum time in flight of the order.
 """
 
 import asyncio
@@ -30,14 +31,14 @@
 from corkcrank.zones.zone_state import ZoneState
 
 TICK_SECONDS = 1.0
-"""Time between digests and between renewals."""
+"""Interval between digests and between lease renewals."""
 
 SUMMARY_TICKS = 2
-"""Digests between two readings of other zones' summaries."""
+"""Number of digests between two reads of other zones' summaries."""
 
 
 class ZoneHolder:
-    """One controller's work for its zone; only the lease's holder publishes."""
+    """One controller's work for its zone; only the holder of the lease publishes."""
 
     def __init__(
         self, agent: MemberAgent, table: Table, peers: PeerClient, back_ends: BackEndClient
@@ -55,7 +56,7 @@
         self._back_ends = back_ends
         self._log = ComponentLog("zone")
         self._wake = asyncio.Event()
-        self._own_reports: tuple[LoadReport, ...] = ()
+        self._local_reports: tuple[LoadReport, ...] = ()
         self._other_holders: dict[str, LeaseRow] = {}
         self._remote_tables: dict[str, KnownTables] = {}
         self._shares = PollShares(process.name)
@@ -64,16 +65,16 @@
 
     @property
     def publishes(self) -> bool:
-        """Return whether this controller tells the digest: it was the last known holder."""
+        """Return whether this controller publishes the digest: it is the last known holder."""
         row = self.lease.row
         return row is not None and row.holder == self._agent.settings.process.name
 
     def reports(self) -> tuple[LoadReport, ...]:
-        """Return the loads polled here, to be sent with the next heartbeat."""
-        return self._own_reports
+        """Return the loads that this controller polled, for the next heartbeat."""
+        return self._local_reports
 
     def hear_heartbeat(self, data: bytes) -> HeartbeatReply:
-        """Take a member's heartbeat and answer it."""
+        """Apply a member's heartbeat and return the reply."""
         heartbeat = decode_heartbeat(data)
         if heartbeat.zone == self.zone:
             self.state.apply_heartbeat(heartbeat, clock.now())
@@ -96,7 +97,7 @@
         return tuple(ZoneLease(zone, row) for zone, row in sorted(rows.items()) if row.address)
 
     def wake_if_newer(self) -> None:
-        """Publish at once when a newer configuration version has become known."""
+        """Wake the loop to publish at once if a newer configuration version is known."""
         version = self._agent.view.adoption.announced_version
         if version > self._known_version:
             self._known_version = version
@@ -113,27 +114,27 @@
             self._wake.clear()
 
     async def tick(self) -> None:
-        """Renew or claim the lease, then publish if it is this controller's to do."""
+        """Renew or claim the lease, then publish if this controller is the holder."""
         self._ticks += 1
         await self._refresh_leases()
         await self._advance_lease()
         if self.publishes:
-            await self._read_list()
+            await self._read_machine_list()
             if self._ticks % SUMMARY_TICKS == 0:
                 await self._pull_summaries()
             self._publish()
             await self._send_orders()
 
     async def release(self) -> None:
-        """Give the lease up at a planned stop, after the last order."""
+        """Release the lease at a planned stop, after the last order."""
         write = self.lease.release()
         if write is not None:
             await self._write_lease(write)
 
     def encoded_summary(self, known_directory: int) -> bytes | None:
-        """Return what other zones are told, or ``None`` when this is not the holder.
+        """Return the summary for other zones, or ``None`` if this controller is not the holder.
 
-        The directory is enclosed unless its hash is ``known_directory``.
+        The directory is included unless its hash equals ``known_directory``.
         """
         if not self.publishes:
             return None
@@ -179,7 +180,7 @@
             case Unanswered():
                 return
 
-    async def _read_list(self) -> None:
+    async def _read_machine_list(self) -> None:
         listed = await self._back_ends.read_machine_list(self._agent.settings.platform.machine_list)
         if isinstance(listed, MachineList):
             self.state.apply_machine_list(listed)
@@ -216,7 +217,7 @@
         index = self._agent.view.adoption.index
         if index is None or self._agent.view.adoption.version_to_fetch is not None:
             return
-        due = required_orders(
+        due_orders = required_orders(
             index.configuration,
             self.state.workers_of_zone(),
             self.state.reports(),
@@ -224,12 +225,12 @@
         )
         addresses = {row.worker: row.address for row in self.state.machine_list.workers}
         await asyncio.gather(
-            *(self._send_order(Address(addresses[order.worker]), order) for order in due)
+            *(self._send_order(Address(addresses[order.worker]), order) for order in due_orders)
         )
 
     async def _send_order(self, address: Address, order: ModelOrder) -> None:
-        # Checked in the same step as the send, with no await between: a pause here is
-        # covered by the bound on the flight, which the next holder waits out.
+        # The lease is checked without an await before the send. A pause of the process here
+        # is covered by the limit on the time in flight, which the next holder waits out.
         if not self.lease.holds(clock.now(), margin=ORDER_TIMEOUT_SECONDS):
             return
         if order.fence != self.lease.fence:
@@ -243,7 +244,7 @@
         outcomes = await asyncio.gather(
             *(self._back_ends.read_load_report(worker.address) for worker in share)
         )
-        self._own_reports = tuple(
+        self._local_reports = tuple(
             outcome for outcome in outcomes if isinstance(outcome, LoadReport)
         )
 
--- a/src/corkcrank/gateway/__init__.py
+++ b/src/corkcrank/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway of the product's own interface: pipelines, claims, quotas.
+"""The gateway of Corkcrank's own interface: pipelines, claims and tenant quotas.
 
-Opaque calls on the users' platform are served by :mod:`corkcrank.node`.
+:mod:`corkcrank.node` serves opaque calls on the users' platform.
 """
--- a/src/corkcrank/gateway/access_control.py
+++ b/src/corkcrank/gateway/access_control.py
@@ -1,4 +1,4 @@
-"""What every caller passes: tenant, confirmed configuration, quota; and its accounting."""
+"""Checks every request for tenant, confirmed configuration and quota, and counts it."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 from corkcrank.machines.member_view import MemberView
 
 UNKNOWN_RANK = -1
-"""Rank under which requests of unknown callers are counted."""
+"""Tier rank in the metrics for requests of unknown callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who asks, under which configuration, and since when (seconds of :mod:`clock`)."""
+    """A request's tenant, configuration and arrival time (seconds of :mod:`clock`)."""
 
     request: RequestId
     tenant: Tenant
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """An answer and the result code it tells."""
+    """A response and its result code."""
 
     response: web.StreamResponse
     code: ResultCode
@@ -45,7 +45,7 @@
 
 
 class AccessControl:
-    """Lets known callers in and counts every request."""
+    """Admits requests of known tenants and counts every request."""
 
     def __init__(self, view: MemberView, life: ProcessLife) -> None:
         self._view = view
@@ -57,7 +57,7 @@
     async def handle(
         self, request: web.Request, serve: Serve, refuse: Refuse
     ) -> web.StreamResponse:
-        """Serve one request, or refuse it; a stopping gateway closes the connection."""
+        """Serve or refuse one request; a draining gateway closes the connection afterwards."""
         identifier = new_request_id()
         arrived = clock.now()
         self.in_flight += 1
@@ -68,13 +68,13 @@
             caller = self._identify(request, identifier, arrived)
             if caller.is_error():
                 code = caller.error.code
-                return self._closing(refuse(request, identifier, caller.error))
+                return self._close_if_draining(refuse(request, identifier, caller.error))
             rank = caller.ok.rank
             served = await serve(request, caller.ok)
             code = served.code
-            return self._closing(served.response)
+            return self._close_if_draining(served.response)
         finally:
-            self._note_end(identifier, rank, code, arrived)
+            self._record_end(identifier, rank, code, arrived)
 
     def check_quota(self, caller: Caller) -> Failure | None:
         """Count the request against the tenant's quota, or return the refusal."""
@@ -101,12 +101,14 @@
             return Error(Failure(ResultCode.UNKNOWN_API_KEY))
         return Ok(Caller(identifier, tenant, index.tenant_rank(tenant), index, arrived))
 
-    def _closing(self, response: web.StreamResponse) -> web.StreamResponse:
+    def _close_if_draining(self, response: web.StreamResponse) -> web.StreamResponse:
         if self._life.draining and not response.prepared:
             response.force_close()
         return response
 
-    def _note_end(self, identifier: RequestId, rank: int, code: ResultCode, arrived: float) -> None:
+    def _record_end(
+        self, identifier: RequestId, rank: int, code: ResultCode, arrived: float
+    ) -> None:
         self.in_flight -= 1
         elapsed = clock.now() - arrived
         metrics.IN_FLIGHT.set(self.in_flight)
--- a/src/corkcrank/gateway/admission.py
+++ b/src/corkcrank/gateway/admission.py
@@ -1,30 +1,30 @@
-"""Admission: refuse at once what cannot finish before its deadline.
+"""Admission: refuses requests that are predicted to miss their deadline.
 
-The prediction is the sum over the remaining stages of the measured stage time and of the
-queue ahead. Queues are judged by the least pressed candidates of a service, because that
-is where the router sends the next call. Lower ranks (better tiers) see a shorter queue,
-as the engines and pools serve them first.
+The prediction is the sum over the remaining stages of the measured stage time and the time
+in the queue. The queue is that of the least loaded candidate of a service, because the router
+sends the next call there. Lower ranks (better tiers) see a shorter queue, as the engines and
+pools serve them first.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 SMOOTHING = 0.1
-"""Weight of the newest sample in a moving mean."""
+"""Weight of the newest sample in an exponential moving average."""
 
 OPTIMISM = 1.25
-"""The forecast may exceed the budget by this factor: a queue seen late has mostly drained."""
+"""Factor by which a forecast may exceed the budget: a delayed queue length is mostly too high."""
 
 RANK_MARGIN = 0.1
-"""Share of the budget that each rank below the best gives up while there is a queue."""
+"""Share of the budget deducted for each rank below the best while there is a queue."""
 
 MAXIMUM_MARGIN = 0.3
-"""Largest share of the budget taken as margin."""
+"""Maximum share of the budget deducted as margin."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageForecast:
-    """What is known of one remaining stage; times are in seconds.
+    """Measured load of one remaining stage; times are in seconds.
 
     ``queue_seconds`` is the mean time of the calls queued at the stage's service, which
     may belong to other pipelines.
@@ -36,18 +36,18 @@
 
 
 class StageTimes:
-    """Moving mean of a stage's or a service's uncontended time of one call."""
+    """Moving average of the time of one call without contention, for a stage or service."""
 
     def __init__(self, expected_seconds: float) -> None:
         self.seconds = expected_seconds
 
     def record(self, seconds: float) -> None:
-        """Take one measured service time."""
+        """Update the average with one measured service time."""
         self.seconds += SMOOTHING * (seconds - self.seconds)
 
 
 def predict_seconds(stages: Sequence[StageForecast]) -> float:
-    """Return the predicted time until the last stage has answered.
+    """Return the predicted time in seconds until the last stage has answered.
 
     >>> predict_seconds([StageForecast(0.1, 0.0, 0.1), StageForecast(0.2, 2.0, 0.3)])
     0.6
@@ -56,14 +56,14 @@
 
 
 def queue_ahead(stage: StageForecast) -> float:
-    """Return the rounds of work queued before a new call, in service times."""
+    """Return the work queued before a new call, in multiples of the service time."""
     return max(0.0, stage.least_pressure - 1.0)
 
 
 def seconds_until_feasible(
     stages: Sequence[StageForecast], remaining_seconds: float, rank: int
 ) -> float:
-    """Return zero to admit, or the seconds after which to come back.
+    """Return zero to admit the request, or the seconds after which to retry it.
 
     Parameters
     ----------
--- a/src/corkcrank/gateway/answer_checks.py
+++ b/src/corkcrank/gateway/answer_checks.py
@@ -1,10 +1,10 @@
-"""Checks on answers: a result counts only for the request, attempt and tenant it names."""
+"""Checks that an answer names the request, attempt and tenant of its call."""
 
 from corkcrank.contracts.messages import PlainAnswer, PlainCall, StageAnswer, StageCall
 
 
 def answers_stage(call: StageCall, answer: StageAnswer) -> bool:
-    """Return whether ``answer`` belongs to ``call`` and holds only its tenant's passages."""
+    """Return whether ``answer`` matches ``call`` and contains only its tenant's passages."""
     echoed = (
         answer.request == call.request
         and answer.stage == call.stage
@@ -15,7 +15,7 @@
 
 
 def answers_plain(call: PlainCall, answer: PlainAnswer) -> bool:
-    """Return whether ``answer`` belongs to ``call``."""
+    """Return whether ``answer`` matches ``call``."""
     return (
         answer.request == call.request
         and answer.attempt == call.attempt
--- a/src/corkcrank/gateway/caller_routes.py
+++ b/src/corkcrank/gateway/caller_routes.py
@@ -1,4 +1,4 @@
-"""The gateway's caller-facing routes."""
+"""The gateway's HTTP routes for callers and load balancers."""
 
 from aiohttp import web
 from aiohttp.typedefs import Handler
@@ -19,7 +19,7 @@
 
 
 class CallerRoutes:
-    """Serves callers and the balancer."""
+    """Serves pipelines, plain services and health checks."""
 
     def __init__(
         self,
@@ -57,12 +57,12 @@
 
     @property
     def unsettled_claims(self) -> int:
-        """Return claims that still run or are not recorded."""
+        """Return the number of claims that still run or are not recorded."""
         return self._plain.unsettled_claims
 
     @web.middleware
     async def _answer_errors(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Give a fault of ours a numbered answer too, and keep the process going."""
+        """Turn an unexpected exception into an answer with a result code."""
         try:
             return await handler(request)
         except (web.HTTPException, ConnectionResetError):
--- a/src/corkcrank/gateway/claim_store.py
+++ b/src/corkcrank/gateway/claim_store.py
@@ -1,4 +1,4 @@
-"""Claims in the table: insert, read, and record until the table takes it."""
+"""Stores claims in the table: inserts, reads, and records with retries."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from corkcrank.links.table import Committed, Conflicted, Row, Table, Unanswered
 
 RECORD_PAUSE_SECONDS = 0.5
-"""Pause between tries to record a row while the table is away."""
+"""Pause between retries of a row while the table is unavailable."""
 
 
 class ClaimStore:
@@ -27,13 +27,13 @@
 
     @property
     def unrecorded(self) -> int:
-        """Return the number of rows that the table has not taken yet."""
+        """Return the number of rows that are not yet written to the table."""
         return len(self._recording)
 
     async def insert(
         self, key: str, row: ClaimRow, expected_revision: int
     ) -> InsertCommitted | RowSeen | TableUnanswered:
-        """Insert a claim if the table still holds ``expected_revision``."""
+        """Insert a claim if its row is still at ``expected_revision``."""
         outcome = await self.writer.write_row(key, expected_revision, _encode(row))
         match outcome:
             case Committed():
@@ -49,7 +49,7 @@
         return TableUnanswered() if isinstance(outcome, Unanswered) else _seen(outcome.rows[0])
 
     def record(self, key: str, row: ClaimRow) -> None:
-        """Write the last state of a claim in the background."""
+        """Write the final state of a claim in the background, with retries."""
         task = asyncio.create_task(self._record(key, row))
         self._recording.add(task)
         task.add_done_callback(self._recording.discard)
@@ -66,7 +66,7 @@
             return True
         if seen.row == row:
             return True
-        # An absent row is written too: it stops an insert of ours that is still on its way.
+        # An absent row is written too: it blocks an earlier insert that is still in flight.
         outcome = await self.writer.write_row(key, seen.revision, _encode(row))
         return isinstance(outcome, Committed)
 
--- a/src/corkcrank/gateway/decode_pace.py
+++ b/src/corkcrank/gateway/decode_pace.py
@@ -1,18 +1,18 @@
-"""The pace of one stream: can it still end in time, and how long did decoding take."""
+"""Decoding speed of one stream: predicts whether it can meet its deadline."""
 
 HASTE = 0.5
-"""Share of the usual decoding time in which a stream might still end at best."""
+"""Minimum decoding time of a stream, as a share of the usual decoding time."""
 
 
 class DecodePace:
-    """Judges one attempt against the usual decoding time of its service.
+    """Compares one attempt with the usual decoding time of its service.
 
     Parameters
     ----------
     usual_seconds
-        Moving mean of the time from first to last token, waiting excluded.
+        Moving average of the time from first to last token, without waiting.
     max_tokens
-        Tokens wanted.
+        Number of requested tokens.
 
     """
 
@@ -24,7 +24,7 @@
         self._tokens = 0
 
     def slack_seconds(self, remaining_seconds: float, offset: int) -> float:
-        """Return the time that may still be lost, at most, before the end is out of reach.
+        """Return the seconds of delay after which the stream cannot meet its deadline.
 
         >>> DecodePace(usual_seconds=1.0, max_tokens=10).slack_seconds(2.0, offset=5)
         1.75
@@ -33,7 +33,7 @@
         return remaining_seconds - HASTE * self._usual_seconds * left
 
     def note_token(self, now: float) -> None:
-        """Take the time of a token."""
+        """Record the arrival time of a token."""
         if self._first_at is None:
             self._first_at = now
         self._last_at = now
@@ -41,7 +41,7 @@
 
     @property
     def measured_seconds(self) -> float | None:
-        """Return the decoding time of all tokens wanted, or ``None`` from too few tokens."""
+        """Return the decoding time for all requested tokens, ``None`` with fewer than 2 tokens."""
         if self._first_at is None or self._tokens < 2:
             return None
         per_token = (self._last_at - self._first_at) / (self._tokens - 1)
--- a/src/corkcrank/gateway/dispatch.py
+++ b/src/corkcrank/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Chooses back ends over the gateway's load view and counts calls in flight."""
+"""Chooses back ends by the gateway's load view and counts calls in flight."""
 
 from collections.abc import Callable, Collection, Iterator
 from contextlib import contextmanager
@@ -10,11 +10,11 @@
 from corkcrank.machines.routing import RoutingPolicy
 
 UNKNOWN_ADDRESS = Address("0.0.0.0:0")
-"""Address of a back end that left the list between choice and send; never connects."""
+"""Address of a back end removed from the list between choice and send; never connects."""
 
 
 class Dispatcher:
-    """Everything a request needs to reach a back end."""
+    """Chooses back ends for calls and keeps the retry budget of each service."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     def choose(
         self, service: str, tried: Collection[WorkerId], affinity: str, model: str = ""
     ) -> WorkerId | None:
-        """Return a back end outside ``tried``; one of ``tried`` when only those remain."""
+        """Return a back end outside ``tried``, or one of ``tried`` if there is no other."""
         now = self._clock()
         excluded = self._drained().union(tried)
         candidates = self.view.candidates(service, now, model, excluded)
@@ -51,13 +51,13 @@
         return self._policy.choose(candidates, affinity).worker
 
     def least_pressure(self, service: str, model: str) -> float | None:
-        """Return the lowest load per slot among a service's back ends, if it has any."""
+        """Return the lowest load per slot among a service's back ends, ``None`` without any."""
         candidates = self.view.candidates(service, self._clock(), model, self._drained())
         return min((candidate.pressure for candidate in candidates), default=None)
 
     @contextmanager
     def sending(self, worker: WorkerId) -> Iterator[Address]:
-        """Count a call to ``worker`` while it is in flight, and give its address."""
+        """Count a call to ``worker`` while it is in flight, and yield the worker's address."""
         started = self._clock()
         self.view.record_call_start(worker, started)
         try:
--- a/src/corkcrank/gateway/pipeline_handler.py
+++ b/src/corkcrank/gateway/pipeline_handler.py
@@ -1,4 +1,4 @@
-"""Pipeline requests: read, admit, run, answer."""
+"""Handles pipeline requests: reads, admits, runs and answers them."""
 
 from aiohttp import web
 from expression import Error, Ok, Result
@@ -22,7 +22,7 @@
 from corkcrank.gateway.stream_writer import StreamWriter
 
 EVENT_STREAM = "text/event-stream"
-"""Media type by which a caller asks for a stream."""
+"""Media type in the ``Accept`` header of a caller that requests a stream."""
 
 
 class PipelineHandler:
@@ -66,7 +66,7 @@
         seconds = read_deadline_seconds(request, pipeline.deadline_seconds)
         if seconds.is_error():
             return Error(seconds.error)
-        run = self._make_run(caller, pipeline, body.ok, caller.arrived + seconds.ok)
+        run = self._create_run(caller, pipeline, body.ok, caller.arrived + seconds.ok)
         refusal = self._access.check_quota(caller) or self._check_feasible(run, seconds.ok)
         return Ok(run) if refusal is None else Error(refusal)
 
@@ -74,7 +74,7 @@
         body = await read_body(request, self._limits.maximum_body_bytes)
         return Error(body.error) if body.is_error() else read_pipeline_request(body.ok)
 
-    def _make_run(
+    def _create_run(
         self, caller: Caller, pipeline: Pipeline, body: PipelineRequest, deadline: float
     ) -> PipelineRun:
         return PipelineRun(
@@ -95,12 +95,12 @@
     def _check_feasible(self, run: PipelineRun, seconds: float) -> Failure | None:
         forecasts: list[StageForecast] = []
         for stage in run.pipeline.stages:
-            usual = self._usual(stage_key(run.pipeline, stage), stage.expected_seconds)
-            queue = self._usual(stage.service, stage.expected_seconds)
+            usual = self._stage_times(stage_key(run.pipeline, stage), stage.expected_seconds)
+            queue = self._stage_times(stage.service, stage.expected_seconds)
             pressure = self._dispatcher.least_pressure(stage.service, stage.model)
             if pressure is None:
                 return Failure(ResultCode.NO_BACKEND, stage.service, retry_after=1.0)
-            # Only a stage that generates takes longer for more tokens.
+            # Only the time of a generating stage depends on the number of tokens.
             scale = run.max_tokens / run.pipeline.max_tokens if stage.model else 1.0
             forecasts.append(StageForecast(usual.seconds * scale, pressure, queue.seconds))
         if not self._policies.admission:
@@ -108,7 +108,7 @@
         wait = seconds_until_feasible(forecasts, seconds, run.rank)
         return Failure(ResultCode.DEADLINE_UNREACHABLE, retry_after=wait) if wait > 0 else None
 
-    def _usual(self, key: str, expected_seconds: float) -> StageTimes:
+    def _stage_times(self, key: str, expected_seconds: float) -> StageTimes:
         return self._times.setdefault(key, StageTimes(expected_seconds))
 
 
@@ -134,4 +134,4 @@
 
 
 async def _discard_token(index: int, token: str) -> None:
-    """Take a token that nobody reads."""
+    """Discard a token."""
--- a/src/corkcrank/gateway/pipeline_run.py
+++ b/src/corkcrank/gateway/pipeline_run.py
@@ -1,4 +1,4 @@
-"""Runs one pipeline request, stage by stage, on top of the pure stage process."""
+"""Runs the stages of one pipeline request: I/O around the state machine of each stage."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -44,24 +44,24 @@
 from corkcrank.machines.routing import PREFIX_BYTES
 
 MINIMUM_ATTEMPT_SECONDS = 0.5
-"""Shortest time given to one attempt."""
+"""Minimum timeout of one attempt."""
 
 ATTEMPT_PATIENCE = 6.0
-"""An attempt is given this multiple of the stage's usual time."""
+"""Timeout of an attempt, as a multiple of the stage's usual time."""
 
 TOKEN_PATIENCE_SECONDS = 1.0
-"""Longest silence of a stream before it is taken up elsewhere."""
+"""Maximum pause of a stream before it is resumed at another back end."""
 
 TokenSink = Callable[[int, str], Awaitable[None]]
-"""Takes each new token with its index, in order."""
+"""Receives each new token with its index, in order."""
 
 
 class TooLateError(Exception):
-    """A stream can no longer end before the deadline."""
+    """Raised when a stream can no longer meet its deadline."""
 
 
 class StageGivenUpError(Exception):
-    """A stage was given up; carries the request's failure."""
+    """Raised when a stage is abandoned; contains the request's failure."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.code.name)
@@ -70,10 +70,9 @@
 
 @dataclass(slots=True)
 class PipelineRun:
-    """One request on its way through a pipeline.
+    """The state of one pipeline request.
 
-    ``deadline`` is in seconds of :mod:`clock`; ``costs`` is by service; ``seconds`` holds each
-    finished stage's time.
+    ``deadline`` is in seconds of :mod:`clock`; ``costs`` is by service.
     """
 
     request: RequestId
@@ -135,7 +134,7 @@
                     if process.attempts > 1:
                         metrics.RETRIES.labels(stage.service).inc()
                     event = await attempt(instruction)
-                    self._note_outcome(event, instruction.worker)
+                    self._record_outcome(event, instruction.worker)
                 case FinishStage():
                     return
                 case GiveUpStage(failure=failure):
@@ -143,7 +142,7 @@
                 case IgnoreEvent():
                     raise AssertionError("an attempt that was never sent has ended")
 
-    def _note_outcome(self, event: StageEvent, worker: WorkerId) -> None:
+    def _record_outcome(self, event: StageEvent, worker: WorkerId) -> None:
         if isinstance(event, AttemptBroken | AttemptNotSent):
             self.dispatcher.view.mark_suspect(worker, clock.now())
 
@@ -178,10 +177,10 @@
         if not answers_stage(call, outcome):
             metrics.DROPPED_ANSWERS.labels(stage.service).inc()
             return AttemptBroken(send.attempt)
-        self._take_pool_answer(stage, service, outcome)
+        self._apply_pool_answer(stage, service, outcome)
         return AttemptAnswered(send.attempt)
 
-    def _take_pool_answer(self, stage: Stage, service: Service, answer: StageAnswer) -> None:
+    def _apply_pool_answer(self, stage: Stage, service: Service, answer: StageAnswer) -> None:
         self.text = answer.text
         self.passages = answer.passages
         self._charge(stage, service, answer.busy_seconds)
@@ -249,8 +248,8 @@
                 await self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
                 return AttemptBroken(send.attempt)
             except (asyncio.CancelledError, ConnectionError):
-                # The caller has gone: free the engine's slot before leaving. Its close shows
-                # as a cancellation, or as an error of the write of a token that came first.
+                # The caller disconnected: free the engine's slot first. The disconnect
+                # appears as a cancellation, or as an error if a token is written before that.
                 await asyncio.shield(
                     self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
                 )
@@ -272,20 +271,20 @@
         pace = DecodePace(usual, self.max_tokens)
         chunks = self.dispatcher.back_ends.generate(address, call, remaining)
         async with aclosing(chunks):
-            last = await self._take_chunks(chunks, call, assembler, pace)
+            last = await self._forward_chunks(chunks, call, assembler, pace)
         self._charge(stage, service, last.busy_seconds)
         if pace.measured_seconds is not None:
             times.record(pace.measured_seconds / scale)
             self.times[stage.service].record(pace.measured_seconds)
 
-    async def _take_chunks(
+    async def _forward_chunks(
         self,
         chunks: AsyncGenerator[TokenChunk, None],
         call: GenerateCall,
         assembler: StreamAssembler,
         pace: DecodePace,
     ) -> TokenChunk:
-        """Pass on an attempt's tokens as they come, and return its last chunk."""
+        """Forward an attempt's tokens as they arrive, and return its last chunk."""
         while True:
             slack = pace.slack_seconds(self.deadline - clock.now(), assembler.offset)
             if slack <= 0.0:
@@ -308,15 +307,15 @@
 
 
 def stage_key(pipeline: Pipeline, stage: Stage) -> str:
-    """Return the name under which a stage's usual time is kept."""
+    """Return the key of a stage's usual time."""
     return f"{pipeline.name}/{stage.service}"
 
 
 def assemble_prompt(question: str, passages: tuple[Passage, ...]) -> str:
-    """Return the prompt: passages first, so that requests over the same ones share a prefix."""
+    """Return the prompt; passages come first so that requests with the same ones share a prefix."""
     return "\n".join([*(passage.text for passage in passages), question])
 
 
 def prefix_key(tenant: TenantName, prompt: str) -> str:
-    """Return what decides a prompt's preferred engine."""
+    """Return the affinity key that selects a prompt's preferred engine."""
     return f"{tenant}\x00{prompt[:PREFIX_BYTES]}"
--- a/src/corkcrank/gateway/plain_handler.py
+++ b/src/corkcrank/gateway/plain_handler.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: read, then run straight through or under a claim."""
+"""Handles calls to plain services, directly or, if unrepeatable, under a claim."""
 
 import asyncio
 
@@ -26,10 +26,10 @@
 from corkcrank.links.back_ends import NotSent
 
 DEFAULT_DEADLINE_SECONDS = 10.0
-"""Deadline of a plain call whose caller states none."""
+"""Default deadline of a plain call."""
 
 MAXIMUM_ATTEMPTS = 3
-"""Most attempts of a repeatable plain call."""
+"""Maximum number of attempts of a repeatable plain call."""
 
 
 class PlainHandler:
@@ -46,7 +46,7 @@
 
     @property
     def unsettled_claims(self) -> int:
-        """Return claims that still run or are not recorded."""
+        """Return the number of claims that still run or are not recorded."""
         return len(self._claim_tasks) + self._claims.unrecorded
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
@@ -76,7 +76,7 @@
         if text.is_error():
             return Error(text.error)
         deadline = caller.arrived + seconds.ok
-        return _make_call(caller, service, request, key.ok, text.ok, deadline)
+        return _create_call(caller, service, request, key.ok, text.ok, deadline)
 
     async def _serve_claimed(self, call: PlainRequest) -> Served:
         claimed = ClaimedCall(call, self._dispatcher, self._claims)
@@ -111,7 +111,7 @@
         return Served(failure_response(call.request, Failure(code, retry_after=1.0)), code)
 
 
-def _make_call(
+def _create_call(
     caller: Caller, service: Service, request: web.Request, key: str, body: str, deadline: float
 ) -> Result[PlainRequest, Failure]:
     operation = request.match_info["operation"]
@@ -131,7 +131,7 @@
 
 
 def _refuse(request: web.Request, identifier: RequestId, failure: Failure) -> web.StreamResponse:
-    # With a key, an earlier call may have run: only the claim could tell.
+    # With a key, an earlier call may have run; only its claim would show it.
     key = read_key(request)
     unsure = key.is_ok() and bool(key.ok) and failure.code.is_refusal
     return failure_response(identifier, failure, Ran.UNKNOWN if unsure else None)
--- a/src/corkcrank/gateway/plain_run.py
+++ b/src/corkcrank/gateway/plain_run.py
@@ -1,4 +1,4 @@
-"""Runs one call to a plain service: straight through, or under a claim."""
+"""Runs one call to a plain service, directly or under a claim."""
 
 import asyncio
 from dataclasses import dataclass
@@ -32,12 +32,12 @@
 from corkcrank.links.back_ends import PLAIN_RESULT_TIMEOUT_SECONDS, NotSent, PossiblySent
 
 READ_PAUSE_SECONDS = 0.1
-"""Pause before a claim's row is read again."""
+"""Pause before rereading a claim's row."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlainRequest:
-    """One caller's call to a plain service; ``deadline`` is in seconds of :mod:`clock`."""
+    """One call to a plain service; ``deadline`` is in seconds of :mod:`clock`."""
 
     request: RequestId
     tenant: TenantName
@@ -49,7 +49,7 @@
 
 
 class ClaimedCall:
-    """Carries out one :class:`ClaimProcess`, also after the caller has gone."""
+    """Executes one :class:`ClaimProcess`, even after the caller has disconnected."""
 
     def __init__(self, request: PlainRequest, dispatcher: Dispatcher, store: ClaimStore) -> None:
         self._request = request
@@ -63,7 +63,7 @@
         self.reply: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
     async def run(self) -> None:
-        """Run until the claim is settled; :attr:`reply` is set on the way."""
+        """Run until the claim is finished; sets :attr:`reply` as soon as it is known."""
         alarm = asyncio.create_task(self._watch_deadline())
         try:
             await self._drive()
@@ -75,7 +75,7 @@
     async def _drive(self) -> None:
         instructions = self._process.handle_event(ClaimStarted(), clock.now())
         while True:
-            event = await self._carry_out(instructions)
+            event = await self._execute(instructions)
             if event is None:
                 return
             instructions = self._process.handle_event(event, clock.now())
@@ -84,9 +84,9 @@
         await asyncio.sleep(max(0.0, self._request.deadline - clock.now()))
         for instruction in self._process.handle_event(DeadlineReached(), clock.now()):
             if isinstance(instruction, Reply):
-                self._give(instruction)
+                self._set_reply(instruction)
 
-    async def _carry_out(self, instructions: list[ClaimInstruction]) -> ClaimEvent | None:
+    async def _execute(self, instructions: list[ClaimInstruction]) -> ClaimEvent | None:
         event: ClaimEvent | None = None
         for instruction in instructions:
             match instruction:
@@ -100,10 +100,10 @@
                 case RecordRow(row=row):
                     self._store.record(self._key, row)
                 case Reply():
-                    self._give(instruction)
+                    self._set_reply(instruction)
         return event
 
-    def _give(self, reply: Reply) -> None:
+    def _set_reply(self, reply: Reply) -> None:
         if not self.reply.done():
             self.reply.set_result(reply)
 
--- a/src/corkcrank/gateway/program.py
+++ b/src/corkcrank/gateway/program.py
@@ -1,4 +1,4 @@
-"""``corkcrank-gateway``: serves callers."""
+"""``corkcrank-gateway``: the process that serves callers."""
 
 import asyncio
 import random
@@ -33,14 +33,14 @@
 ROLE = "gateway"
 
 MAXIMUM_PEER_BYTES = 1 << 24
-"""Largest message from a peer."""
+"""Maximum size of a message from a peer, in bytes."""
 
 CHECK_SECONDS = 0.05
-"""Time between looks at whether a stop is complete."""
+"""Interval between checks for readiness and for the end of a drain."""
 
 
 class GatewayDump(msgspec.Struct, frozen=True):
-    """The state of a gateway, on request."""
+    """The state of a gateway, as returned by ``/dump``."""
 
     member: MemberDump
     in_flight: int
@@ -53,7 +53,7 @@
 
 
 class Gateway:
-    """Wires one gateway together."""
+    """Builds, starts and stops the parts of one gateway process."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -114,7 +114,7 @@
         )
 
     async def start(self) -> None:
-        """Serve peers and callers; without a caller address, peers only."""
+        """Start serving peers and, if a caller address is set, callers."""
         peer_application = web.Application(client_max_size=MAXIMUM_PEER_BYTES)
         PeerRoutes(
             self.agent, self.dump, self.agent.answer_heartbeat, self._links.traffic
@@ -133,7 +133,7 @@
         ]
 
     async def stop(self) -> None:
-        """Drain, then leave."""
+        """Drain, then close all connections."""
         await self._drain()
         await cancel_all(self._loops)
         for runner in (self._caller_runner, self._peer_runner):
@@ -149,7 +149,7 @@
             self._log.info("Serving.", address=self._settings.process.caller_address)
 
     async def _drain(self) -> None:
-        """Stay reachable for the balancer's lag, then finish what is in flight."""
+        """Accept calls until the load balancer stops sending, then finish those in flight."""
         self.life.fire(ProcessTrigger.DRAIN)
         self._log.info("Draining.", in_flight=self.routes.in_flight)
         limits = self._settings.limits
@@ -157,9 +157,9 @@
         if self._caller_runner is not None:
             for site in list(self._caller_runner.sites):
                 await site.stop()
-        give_up_at = clock.now() + limits.drain_limit_seconds
+        drain_until = clock.now() + limits.drain_limit_seconds
         while self.routes.in_flight or self.routes.unsettled_claims:
-            if clock.now() >= give_up_at:
+            if clock.now() >= drain_until:
                 self._log.warning(
                     "Drain limit reached.",
                     in_flight=self.routes.in_flight,
--- a/src/corkcrank/gateway/quota.py
+++ b/src/corkcrank/gateway/quota.py
@@ -1,7 +1,7 @@
 """Tenant quotas: each gateway enforces its share of the tenant's global rate.
 
-The balancer spreads a tenant's requests evenly, so the share is the quota divided by the
-number of live gateways. With no word on the others a gateway assumes it is alone.
+The load balancer spreads a tenant's requests evenly, so the share is the quota divided by the
+number of live gateways. A gateway that knows of no others assumes that it is the only one.
 """
 
 
@@ -13,12 +13,12 @@
         self._filled_at = now
 
     def seconds_until_token(self, rate: float, burst: float, now: float) -> float:
-        """Take one token and return zero, or return the seconds until there is one.
+        """Take one token and return zero, or return the seconds until one is available.
 
         Parameters
         ----------
         rate
-            Tokens a second.
+            Tokens per second.
         burst
             Size of the bucket, at least one.
         now
@@ -36,7 +36,7 @@
 
 
 class TenantQuotas:
-    """The buckets of every tenant seen by one gateway."""
+    """The token buckets of all tenants at one gateway."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, TokenBucket] = {}
@@ -44,7 +44,7 @@
     def seconds_until_admission(
         self, tenant: str, rate: float, burst: float, gateways: int, now: float
     ) -> float:
-        """Return zero and count the request, or the seconds to wait before retrying."""
+        """Count the request and return zero, or return the seconds to wait before a retry."""
         bucket = self._buckets.setdefault(tenant, TokenBucket(now))
         share = 1.0 / max(1, gateways)
         return bucket.seconds_until_token(rate * share, max(1.0, burst * share), now)
--- a/src/corkcrank/gateway/request_reader.py
+++ b/src/corkcrank/gateway/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests: headers and bodies into typed values or numbered failures."""
+"""Parses headers and bodies of callers' requests into typed values or failures."""
 
 import msgspec
 from aiohttp import web
@@ -8,19 +8,19 @@
 from corkcrank.contracts.result_codes import Failure, ResultCode
 
 DEADLINE_HEADER = "Corkcrank-Deadline-Ms"
-"""Milliseconds that the caller gives the request, from its arrival."""
+"""Header with the deadline in milliseconds after the request's arrival."""
 
 KEY_HEADER = "Idempotency-Key"
-"""Names an unrepeatable call, the same for every repeat."""
+"""Header with the key of an unrepeatable call, the same in every retry."""
 
 MAXIMUM_KEY_LENGTH = 256
-"""Longest idempotency key, in characters."""
+"""Maximum length of an idempotency key, in characters."""
 
 MAXIMUM_DEADLINE_SECONDS = 600.0
-"""Longest deadline that is accepted."""
+"""Maximum deadline that is accepted."""
 
 MAXIMUM_TOKENS = 4096
-"""Most tokens that one request may ask for."""
+"""Maximum number of tokens that one request may ask for."""
 
 
 def read_api_key(request: web.Request) -> str:
@@ -30,7 +30,7 @@
 
 
 def read_deadline_seconds(request: web.Request, default: float) -> Result[float, Failure]:
-    """Return the seconds that the caller gives the request."""
+    """Return the request's deadline in seconds after its arrival."""
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
         return Ok(default)
@@ -46,7 +46,7 @@
 
 
 def read_key(request: web.Request) -> Result[str, Failure]:
-    """Return the idempotency key, empty when there is none."""
+    """Return the idempotency key, or an empty string."""
     key = request.headers.get(KEY_HEADER, "")
     if len(key) > MAXIMUM_KEY_LENGTH:
         return Error(_malformed(f"{KEY_HEADER} is longer than {MAXIMUM_KEY_LENGTH}"))
--- a/src/corkcrank/gateway/responses.py
+++ b/src/corkcrank/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers: JSON bodies, refusals with Retry-After, server-sent events."""
+"""Builds answers to callers: JSON bodies, refusals with Retry-After, server-sent events."""
 
 import math
 
@@ -10,10 +10,10 @@
 from corkcrank.contracts.result_codes import Failure, Ran
 
 REQUEST_HEADER = "Corkcrank-Request"
-"""Names the request in answers and logs."""
+"""Header with the id of the request, as in the logs."""
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-"""When to come back where nothing better is known."""
+"""Value of ``Retry-After`` for a refusal that states none."""
 
 
 class TokenEvent(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
 
 
 def failure_answer(request: RequestId, failure: Failure, ran: Ran | None = None) -> FailureAnswer:
-    """Return the body that tells a failure; ``ran`` overrides the code's own."""
+    """Return the body that describes a failure; ``ran`` overrides the value of its code."""
     retry_after = failure.retry_after
     if retry_after is None and failure.code.is_refusal:
         retry_after = DEFAULT_RETRY_AFTER_SECONDS
@@ -38,7 +38,7 @@
 
 
 def failure_response(request: RequestId, failure: Failure, ran: Ran | None = None) -> web.Response:
-    """Return the HTTP answer that tells a failure."""
+    """Return the HTTP response that describes a failure."""
     body = failure_answer(request, failure, ran)
     response = json_response(request, body, failure.code.http_status)
     if body.retry_after_seconds is not None:
@@ -47,7 +47,7 @@
 
 
 def json_response(request: RequestId, body: msgspec.Struct, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return web.Response(
         status=status,
         body=msgspec.json.encode(body),
@@ -57,7 +57,7 @@
 
 
 def token_event(index: int, token: str) -> bytes:
-    r"""Return one numbered event.
+    r"""Return one token as a numbered event.
 
     >>> token_event(3, "a")
     b'id: 3\nevent: token\ndata: {"token":"a"}\n\n'
@@ -67,5 +67,5 @@
 
 
 def final_event(name: str, body: msgspec.Struct) -> bytes:
-    """Return the explicit last event of a stream: ``end`` or ``error``."""
+    """Return the final event of a stream: ``end`` or ``error``."""
     return b"event: %s\ndata: %s\n\n" % (name.encode(), msgspec.json.encode(body))
--- a/src/corkcrank/gateway/retry.py
+++ b/src/corkcrank/gateway/retry.py
@@ -1,14 +1,14 @@
-"""Retry budget: retries are limited to a share of recent first attempts."""
+"""Retry budget: limits retries to a share of recent first attempts."""
 
 RETRY_SHARE = 0.1
-"""Retries earned by each first attempt."""
+"""Number of retries added to the budget by each first attempt."""
 
 RETRY_RESERVE = 10.0
-"""Most retries that can be saved up; also what a new budget starts with."""
+"""Maximum and initial number of retries in a budget."""
 
 
 class RetryBudget:
-    """The retries that one gateway may still spend on one service."""
+    """The remaining retries of one gateway for one service."""
 
     def __init__(self, share: float = RETRY_SHARE, reserve: float = RETRY_RESERVE) -> None:
         self._share = share
@@ -18,7 +18,7 @@
         self.first_attempts = 0
 
     def record_first_attempt(self) -> None:
-        """Earn a share of a retry."""
+        """Record a first attempt, which adds a share of a retry to the budget."""
         self.first_attempts += 1
         self.balance = min(self._reserve, self.balance + self._share)
 
@@ -36,5 +36,5 @@
         return True
 
     def validate(self) -> None:
-        """Check that retries never exceed their bound."""
+        """Check that the retries do not exceed their limit."""
         assert self.spent <= self._reserve + self._share * self.first_attempts
--- a/src/corkcrank/gateway/stage_process.py
+++ b/src/corkcrank/gateway/stage_process.py
@@ -1,8 +1,8 @@
-"""One stage of one request: the decision core of attempts, retries and giving up.
+"""State machine for the attempts of one stage of a request: sends, retries, failure.
 
-The core does no I/O. The shell reports how each attempt ended; the core says which back
-end to try next, or that the stage is finished or given up. An answer of any attempt but
-the current one changes nothing.
+The state machine does no I/O. Its caller reports how each attempt ended. It returns the back
+end to try next, or that the stage is finished or abandoned. Answers of earlier attempts are
+ignored.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 from corkcrank.gateway.retry import RetryBudget
 
 MAXIMUM_ATTEMPTS = 4
-"""Most attempts of one stage, whatever the budget."""
+"""Maximum number of attempts of one stage, regardless of the retry budget."""
 
 RETRY_AFTER_SECONDS = 1.0
-"""When to come back after a failure whose end cannot be foreseen."""
+"""Value of ``Retry-After`` for a failure of unknown duration."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageStarted:
-    """The stage is due."""
+    """The stage starts."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An attempt delivered a whole answer that passed its checks."""
+    """An attempt delivered a complete answer that passed its checks."""
 
     attempt: AttemptId
 
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptBroken:
-    """An attempt was cut, timed out or failed its checks after bytes may have left."""
+    """An attempt was cut off, timed out or failed its checks after bytes may have been sent."""
 
     attempt: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTooLate:
-    """An attempt can no longer be done before the deadline, here or elsewhere."""
+    """An attempt can no longer meet the deadline, at this back end or another."""
 
     attempt: AttemptId
 
@@ -70,20 +70,20 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUpStage:
-    """The request ends with this failure, at once."""
+    """The request fails at once with this failure."""
 
     failure: Failure
 
 
 @dataclass(frozen=True, slots=True)
 class IgnoreEvent:
-    """The event belongs to an attempt that no longer counts."""
+    """The event belongs to an earlier attempt and is ignored."""
 
 
 StageInstruction = SendAttempt | FinishStage | GiveUpStage | IgnoreEvent
 
 ChooseWorker = Callable[[frozenset[WorkerId]], WorkerId | None]
-"""Chooses a back end outside the given set, or any when only those remain."""
+"""Chooses a back end outside the given set, or one of the set if there is no other."""
 
 
 class StageProcess:
@@ -92,7 +92,7 @@
     Parameters
     ----------
     choose
-        The routing policy over the present load view.
+        The routing policy, applied to the current load view.
     new_attempt
         Source of unique attempt ids.
     budget
@@ -123,7 +123,7 @@
         self.ended = False
 
     def handle(self, event: StageEvent, now: float) -> StageInstruction:
-        """Take one event at time ``now`` and return what to do."""
+        """Handle one event at time ``now`` and return the next instruction."""
         if isinstance(event, StageStarted):
             self._budget.record_first_attempt()
             return self._send(now)
@@ -141,36 +141,36 @@
                 return self._retry(now)
             case AttemptTooLate():
                 self.work_started = True
-                return self._give_up_late()
+                return self._abandon_late()
 
     def validate(self) -> None:
-        """Check the invariants that hold between events."""
+        """Check the invariants between events."""
         assert self.attempts <= MAXIMUM_ATTEMPTS
         assert self.current is None or self.attempts > 0
 
     def _retry(self, now: float) -> StageInstruction:
         self.current = None
         if now >= self._deadline:
-            return self._give_up_late()
+            return self._abandon_late()
         if self.attempts >= MAXIMUM_ATTEMPTS or not self._budget.try_spend():
-            return self._give_up(ResultCode.NO_BACKEND, ResultCode.STAGE_FAILED)
+            return self._abandon(ResultCode.NO_BACKEND, ResultCode.STAGE_FAILED)
         return self._send(now)
 
     def _send(self, now: float) -> StageInstruction:
         if now >= self._deadline:
-            return self._give_up_late()
+            return self._abandon_late()
         worker = self._choose(self._tried)
         if worker is None:
-            return self._give_up(ResultCode.NO_BACKEND, ResultCode.STAGE_FAILED)
+            return self._abandon(ResultCode.NO_BACKEND, ResultCode.STAGE_FAILED)
         self._tried |= {worker}
         self.attempts += 1
         self.current = self._new_attempt()
         return SendAttempt(self.current, worker)
 
-    def _give_up_late(self) -> GiveUpStage:
-        return self._give_up(ResultCode.DEADLINE_UNREACHABLE, ResultCode.DEADLINE_EXCEEDED)
+    def _abandon_late(self) -> GiveUpStage:
+        return self._abandon(ResultCode.DEADLINE_UNREACHABLE, ResultCode.DEADLINE_EXCEEDED)
 
-    def _give_up(self, not_run: ResultCode, started: ResultCode) -> GiveUpStage:
+    def _abandon(self, not_run: ResultCode, started: ResultCode) -> GiveUpStage:
         self.ended = True
         self.current = None
         code = started if self.work_started else not_run
--- a/src/corkcrank/gateway/stream_writer.py
+++ b/src/corkcrank/gateway/stream_writer.py
@@ -1,4 +1,4 @@
-"""Writes a pipeline's answer to the caller: as one body, or as events while it comes."""
+"""Writes a pipeline's answer to the caller, as one body or as a stream of events."""
 
 import contextlib
 
@@ -20,8 +20,8 @@
 class StreamWriter:
     """The answer to one caller.
 
-    Events begin with the first token, so a request that fails before it gets a plain
-    HTTP answer with its own status.
+    The event stream starts with the first token. A request that fails before that gets a plain
+    HTTP response with the status of its failure.
     """
 
     def __init__(self, request: web.Request, identifier: RequestId, streamed: bool) -> None:
@@ -31,27 +31,27 @@
         self._response: web.StreamResponse | None = None
 
     async def write_token(self, index: int, token: str) -> None:
-        """Pass one token on, if the caller asked for a stream."""
+        """Send one token if the caller requested a stream."""
         if not self._streamed:
             return
-        response = await self._started()
+        response = await self._ensure_started()
         await response.write(token_event(index, token))
 
     async def end(self, answer: PipelineAnswer) -> web.StreamResponse:
-        """Write the whole answer, as the explicit last event of a stream."""
+        """Write the complete answer, in a stream as the final event."""
         if not self._streamed:
             return json_response(self._identifier, answer)
-        response = await self._started()
+        response = await self._ensure_started()
         return await self._finish(response, final_event("end", answer))
 
     async def fail(self, failure: Failure) -> web.StreamResponse:
-        """Write the failure, as the explicit last event of a stream that has begun."""
+        """Write the failure, as the final event if the stream has started."""
         if self._response is None:
             return failure_response(self._identifier, failure)
         body = failure_answer(self._identifier, failure)
         return await self._finish(self._response, final_event("error", body))
 
-    async def _started(self) -> web.StreamResponse:
+    async def _ensure_started(self) -> web.StreamResponse:
         if self._response is None:
             self._response = web.StreamResponse(
                 headers={
--- a/src/corkcrank/gateway/streams.py
+++ b/src/corkcrank/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Assembly of token streams across attempts: each token once, in order, to a checked end."""
+"""Assembles a token stream across attempts: each token once, in order, with a checked end."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class StreamAssembler:
-    """The tokens of one generate stage, whichever attempts delivered them.
+    """The tokens of one generate stage, collected from all its attempts.
 
     Only the current attempt may add tokens. A token below the offset is a duplicate and
     is dropped; one above it is a gap, which makes the attempt unusable.
@@ -21,15 +21,15 @@
 
     @property
     def offset(self) -> int:
-        """Return the index of the next token wanted."""
+        """Return the index of the next expected token."""
         return len(self.tokens)
 
     def begin(self, attempt: AttemptId) -> None:
-        """Make ``attempt`` the only one whose chunks count."""
+        """Accept only chunks of ``attempt`` from now on."""
         self.attempt = attempt
 
     def accept(self, chunk: TokenChunk) -> bool:
-        """Take one chunk; return whether it added a token.
+        """Process one chunk and return whether it added a token.
 
         Raises
         ------
