--- a/tests/core/test_stream_and_stage.py
+++ b/tests/core/test_stream_and_stage.py
@@ -1,4 +1,4 @@
-"""Streams and stages under late, crossed, cut and doubled answers."""
+"""Checks streams and stages under late, misdirected, truncated and duplicate answers."""
 
 import random
 
@@ -31,7 +31,7 @@
 
 
 def faulty_stream(source: random.Random, attempt: AttemptId, offset: int) -> list[TokenChunk]:
-    """Return an engine's chunks with doubled, missing, late and crossed ones, maybe cut."""
+    """Return an engine's chunks with random duplicates, gaps, foreign chunks and truncation."""
     chunks: list[TokenChunk] = []
     for index in range(offset, LENGTH):
         chunk = TokenChunk(attempt, index, WHOLE[index])
@@ -53,25 +53,25 @@
 
 @settings(max_examples=500)
 @given(seed=st.integers(0, 1 << 32))
-def test_a_complete_stream_is_whole_whatever_the_attempts_did(seed: int) -> None:
+def test_a_completed_stream_contains_every_token_once(seed: int) -> None:
     source = random.Random(seed)
     assembler = StreamAssembler()
-    passed_on: list[str] = []
+    forwarded: list[str] = []
     for number in range(40):
         attempt = AttemptId(f"a{number}")
         assembler.begin(attempt)
         try:
             for chunk in faulty_stream(source, attempt, assembler.offset):
                 if assembler.accept(chunk):
-                    passed_on.append(chunk.token)
+                    forwarded.append(chunk.token)
         except StreamGapError:
             continue
         if assembler.complete:
             break
-    assert passed_on == WHOLE[: len(passed_on)]
-    assert assembler.tokens == passed_on
+    assert forwarded == WHOLE[: len(forwarded)]
+    assert assembler.tokens == forwarded
     if assembler.complete:
-        assert passed_on == WHOLE
+        assert forwarded == WHOLE
 
 
 def test_an_early_end_is_a_gap() -> None:
@@ -99,7 +99,7 @@
 
 @settings(max_examples=500)
 @given(seed=st.integers(0, 1 << 32))
-def test_a_stage_ends_once_and_never_on_a_late_answer(seed: int) -> None:
+def test_a_stage_ends_once_and_ignores_late_answers(seed: int) -> None:
     source = random.Random(seed)
     budget = RetryBudget(reserve=5.0)
     for _ in range(10):
@@ -111,7 +111,7 @@
 def run_stage(source: random.Random, process: StageProcess) -> None:
     now = 0.0
     sent: list[AttemptId] = []
-    left_process = False
+    bytes_sent = False
     ends: list[StageInstruction] = []
     event: StageEvent = StageStarted()
     for _ in range(30):
@@ -126,14 +126,14 @@
                 assert isinstance(event, AttemptAnswered)
                 assert event.attempt == current
             if isinstance(instruction, GiveUpStage) and instruction.failure.code.ran == Ran.NO:
-                assert not left_process, "told not run after bytes had left"
+                assert not bytes_sent, "reported as not run after bytes were sent"
         if not sent:
             break
         attempt = source.choice(sent)
         kind = source.choice((AttemptAnswered, AttemptBroken, AttemptBroken, AttemptNotSent))
         event = kind(attempt)
         if attempt == process.current and kind is not AttemptNotSent:
-            left_process = True
+            bytes_sent = True
         now += source.uniform(0.0, 1.0)
     assert len(ends) <= 1
 
@@ -157,5 +157,5 @@
         ),
     ],
 )
-def test_answers_of_others_are_dropped(answer: StageAnswer) -> None:
+def test_answers_to_other_calls_are_rejected(answer: StageAnswer) -> None:
     assert not answers_stage(CALL, answer)
--- a/tests/processes/test_caller_leaves.py
+++ b/tests/processes/test_caller_leaves.py
@@ -1,4 +1,4 @@
-"""A caller that leaves frees the engine's slot."""
+"""Checks that the engine's slot is freed when the caller disconnects."""
 
 import asyncio
 from typing import Any
@@ -51,7 +51,7 @@
             response.close()
         left_at = clock.now()
         while await running(cluster) > 0:
-            assert clock.now() - left_at < LIMIT_SECONDS, "the engine works on"
+            assert clock.now() - left_at < LIMIT_SECONDS, "the engine is still generating"
             await asyncio.sleep(0.02)
         assert await generated(cluster) < TOKENS / 2
         dump = await cluster.get(cluster.gateways()[0].peer_address, "/dump", dict[str, Any])
--- a/tests/processes/test_cluster_ready.py
+++ b/tests/processes/test_cluster_ready.py
@@ -1,8 +1,8 @@
 """A local cluster is ready only when its stand-ins take connections.
 
 The directory of back ends comes from the platform's list, which has them from the start. A
-stand-in that was still importing beside a load of 30 refused connections, and the first calls
-of a test ended 3003 (no live back end, Retry-After 1 s): 3 of 44 plays of two tests.
+stand-in that was still importing at a machine load of 30 refused connections, and the first calls
+of a test ended 3003 (no live back end, Retry-After 1 s): 3 of 44 runs of two tests.
 """
 
 import asyncio
--- a/tests/processes/test_command_line.py
+++ b/tests/processes/test_command_line.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a running deployment, and settings checks."""
+"""Runs the operators' command line against a deployment, and checks settings files."""
 
 import asyncio
 import subprocess
@@ -59,7 +59,7 @@
     raise AssertionError(f"status {code}: {text}")
 
 
-async def test_check_names_the_wrong_key_and_what_was_expected(tmp_path: Path) -> None:
+async def test_check_reports_the_invalid_key_and_the_expected_value(tmp_path: Path) -> None:
     good = tmp_path / "good.toml"
     good.write_text(
         '[process]\nname = "g"\nzone = "z"\npeer_address = "127.0.0.1:1"\n'
--- a/tests/processes/test_configuration.py
+++ b/tests/processes/test_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted configuration is in force everywhere within seconds and never reverts."""
+"""Confirmed configuration is in force at all processes within seconds and never reverts."""
 
 import asyncio
 import signal
@@ -70,8 +70,8 @@
 
         cluster.table_links["gateway-0"].cut()
         version = await cluster.apply(PutPipeline(new_pipeline(cluster, "cut")))
-        told = await wait_in_force(cluster, ["gateway-0"], version)
-        print(f"told by peers while cut off from the table: {told:.2f} s")
+        elapsed = await wait_in_force(cluster, ["gateway-0"], version)
+        print(f"received from peers while cut off from the table: {elapsed:.2f} s")
 
         others = [name for name in daemons(cluster) if name != "gateway-0"]
         for name in others:
@@ -82,7 +82,7 @@
 
 
 async def wait_until_refused(cluster: LocalCluster, name: str) -> None:
-    """Wait until a daemon cut off from table and peers stops admitting."""
+    """Wait until a daemon without connection to table and peers refuses requests."""
     caller = Caller(cluster.session, cluster.deployment.configuration())
     address = cluster.processes[name].caller_address
     started = clock.now()
@@ -93,11 +93,11 @@
         assert clock.now() - started < IN_FORCE_LIMIT_SECONDS
 
 
-async def test_frozen_process_never_serves_an_old_version_on_waking() -> None:
+async def test_resumed_process_never_serves_an_old_version() -> None:
     deployment = small_deployment()
     async with LocalCluster(deployment) as cluster:
         cluster.signal("gateway-0", signal.SIGSTOP)
-        waiting = asyncio.create_task(ask_for(cluster, "gateway-0", "after-freeze"))
+        waiting = asyncio.create_task(request_code(cluster, "gateway-0", "after-freeze"))
         version = await cluster.apply(PutPipeline(new_pipeline(cluster, "after-freeze")))
         await wait_in_force(cluster, ["gateway-1", "controller-0"], version)
         await asyncio.sleep(FROZEN_SECONDS)
@@ -107,7 +107,7 @@
         assert await wait_in_force(cluster, ["gateway-0"], version) < IN_FORCE_LIMIT_SECONDS
 
 
-async def ask_for(cluster: LocalCluster, gateway: str, pipeline: str) -> int:
+async def request_code(cluster: LocalCluster, gateway: str, pipeline: str) -> int:
     address = cluster.processes[gateway].caller_address
     key = cluster.deployment.tenants[0].api_key
     async with cluster.session.post(
@@ -130,10 +130,10 @@
         cluster.start_process("gateway-0")
         await cluster.wait_ready(["gateway-0"])
         assert await version_at(cluster, "gateway-0") == version
-        assert await ask_for(cluster, "gateway-0", deployment.pipelines[0].name) == 1000
+        assert await request_code(cluster, "gateway-0", deployment.pipelines[0].name) == 1000
 
 
-async def test_a_plan_is_applied_once_the_table_answers_again() -> None:
+async def test_a_plan_is_applied_after_a_table_outage() -> None:
     async with LocalCluster(small_deployment()) as cluster:
         await cluster.set_faults(cluster.table, outage=True)
         applying = asyncio.create_task(cluster.apply(PutPipeline(new_pipeline(cluster, "later"))))
--- a/tests/processes/test_interface.py
+++ b/tests/processes/test_interface.py
@@ -1,4 +1,4 @@
-"""The interface page's examples, and every way in which a caller's request can be wrong."""
+"""Runs the examples of ``docs/INTERFACE.md`` and checks the result code of each invalid request."""
 
 import asyncio
 import itertools
@@ -21,8 +21,8 @@
 EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 
 
-def deployment_of_the_page() -> Deployment:
-    """Return the small deployment with every plain service that the page names."""
+def page_deployment() -> Deployment:
+    """Return the small deployment plus every plain service that the page uses."""
     small = small_deployment(machines=1)
     whole = load_deployment(EXAMPLES / "association.toml")
     named = {service.name for service in small.services}
@@ -40,7 +40,7 @@
 
 
 async def run_example(cluster: LocalCluster, command: str) -> tuple[int, dict[str, str], bytes]:
-    """Carry out a curl command of the page."""
+    """Run a curl command of the page."""
     gateway = cluster.gateways()[0].caller_address
     key = cluster.deployment.tenants[0].api_key
     words = shlex.split(command.replace("$GATEWAY", gateway).replace("$KEY", key))
@@ -58,7 +58,7 @@
 
 
 async def test_examples_of_the_page() -> None:
-    async with LocalCluster(deployment_of_the_page()) as cluster:
+    async with LocalCluster(page_deployment()) as cluster:
         answers = [await run_example(cluster, command) for command in examples()]
     pipeline, stream, plain, receipt, unknown = answers
     body = msgspec.json.decode(pipeline[2])
@@ -125,7 +125,7 @@
 )
 
 
-async def test_each_wrong_request_has_its_code_and_the_gateway_goes_on() -> None:
+async def test_invalid_requests_get_their_code_and_the_gateway_keeps_serving() -> None:
     async with LocalCluster(small_deployment(machines=1)) as cluster:
         key = cluster.deployment.tenants[0].api_key
         gateway = cluster.gateways()[0].caller_address
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving back end gets no new work; a planned stop cuts off nothing."""
+"""Checks that a leaving back end gets no new work and planned stops interrupt no stream."""
 
 import asyncio
 import signal
@@ -20,17 +20,17 @@
 from corkcrank.standins.machine_list import ListChange
 from small import pipeline_call, small_deployment
 
-AIM_SECONDS = 2.0
-"""Time after the list shows it, in which new work to a leaving back end must end."""
+MAX_LAST_CALL_SECONDS = 2.0
+"""Maximum time from a back end's leaving mark until its last new call."""
 
 QUIET_SECONDS = 2.0
-"""Time over which a back end must then get nothing."""
+"""Time without new calls after which a back end counts as quiet."""
 
-PATIENT_SECONDS = 30.0
-"""Deadline of the streams: whether they are cut must not depend on the machine's speed."""
+LONG_DEADLINE_SECONDS = 30.0
+"""Deadline of the streams, long enough for slow machines."""
 
 STALLED_SECONDS = 3.5
-"""Longer than the deadline of the deployment's own pipelines."""
+"""Pause of a stalled process, longer than the deadline of the deployment's own pipelines."""
 
 
 class StreamingLoad:
@@ -75,7 +75,7 @@
 
 
 async def seconds_until_quiet(cluster: LocalCluster, worker: str) -> float:
-    """Return when the last new call came, after which none did for a while."""
+    """Return the seconds until the last new call before a quiet period."""
     started = clock.now()
     last_change = started
     known = await attempts_at(cluster, worker)
@@ -84,13 +84,15 @@
         count = await attempts_at(cluster, worker)
         if count != known:
             known, last_change = count, clock.now()
-        assert last_change - started < AIM_SECONDS, "a leaving back end still gets work"
+        assert last_change - started < MAX_LAST_CALL_SECONDS, (
+            "a leaving back end still gets new calls"
+        )
     return last_change - started
 
 
 @pytest.mark.parametrize("way", ["list", "own word", "plan"])
 async def test_leaving_engine_gets_no_new_work(way: str) -> None:
-    async with LocalCluster(small_deployment(deadline=PATIENT_SECONDS)) as cluster:
+    async with LocalCluster(small_deployment(deadline=LONG_DEADLINE_SECONDS)) as cluster:
         load = StreamingLoad(cluster, callers=6)
         worker = WorkerId("tax-llm-0")
         while await attempts_at(cluster, worker) < 10:
@@ -113,7 +115,9 @@
 
 async def restart_gateway(cluster: LocalCluster, load: StreamingLoad, name: str) -> None:
     cluster.signal(name, signal.SIGTERM)
-    await asyncio.sleep(0.1)  # the balancer's lag, below the deployment's linger
+    await asyncio.sleep(
+        0.1
+    )  # delay of the load balancer, below the deployment's drain_linger_seconds
     load.gateways.remove(name)
     cluster.signal(name, signal.SIGTERM)  # a repeat must change nothing
     assert await cluster.wait_ended(name) == 0
@@ -123,14 +127,16 @@
 
 
 def stall(cluster: LocalCluster, name: str) -> None:
-    """Stop a process for a while, as a busy machine does."""
+    """Suspend a process for a while, as on an overloaded machine."""
     cluster.signal(name, signal.SIGSTOP)
     loop = asyncio.get_running_loop()
     loop.call_later(STALLED_SECONDS, cluster.signal, name, signal.SIGCONT)
 
 
-async def test_rolling_restart_of_gateways_and_controllers_cuts_nothing() -> None:
-    async with LocalCluster(small_deployment(machines=3, deadline=PATIENT_SECONDS)) as cluster:
+async def test_rolling_restart_of_gateways_and_controllers_interrupts_no_stream() -> None:
+    async with LocalCluster(
+        small_deployment(machines=3, deadline=LONG_DEADLINE_SECONDS)
+    ) as cluster:
         load = StreamingLoad(cluster, callers=6)
         stall(cluster, "standin-tax-llm")
         for name in [item.name for item in cluster.gateways()]:
@@ -157,9 +163,9 @@
     back = msgspec.structs.replace(entry, boot=boot)
     await change_list(cluster, ListChange(put=(back,)))
     before = await attempts_at(cluster, worker)
-    give_up_at = clock.now() + 10.0
+    deadline = clock.now() + 10.0
     while await attempts_at(cluster, worker) == before:
-        assert clock.now() < give_up_at, "a restarted engine gets no work"
+        assert clock.now() < deadline, "a restarted engine gets no work"
         await asyncio.sleep(0.05)
 
 
@@ -168,8 +174,8 @@
     return int(report["running"]) + int(report["waiting"])
 
 
-async def test_rolling_restart_of_engines_cuts_nothing() -> None:
-    async with LocalCluster(small_deployment(deadline=PATIENT_SECONDS)) as cluster:
+async def test_rolling_restart_of_engines_interrupts_no_stream() -> None:
+    async with LocalCluster(small_deployment(deadline=LONG_DEADLINE_SECONDS)) as cluster:
         load = StreamingLoad(cluster, callers=6)
         engines: Sequence[str] = cluster.deployment.services[0].worker_ids()
         for number, worker in enumerate(engines):
--- a/tests/processes/test_orders.py
+++ b/tests/processes/test_orders.py
@@ -1,4 +1,4 @@
-"""Leases and orders with real processes: a frozen holder is never obeyed after the next."""
+"""Checks with real processes that orders of a frozen, superseded lease holder are ignored."""
 
 import asyncio
 import signal
@@ -21,8 +21,8 @@
 
 async def holder(cluster: LocalCluster, excluded: str = "") -> tuple[str, int]:
     """Wait for the controller that holds the zone; return its name and fence."""
-    give_up_at = clock.now() + WAIT_SECONDS
-    while clock.now() < give_up_at:
+    deadline = clock.now() + WAIT_SECONDS
+    while clock.now() < deadline:
         for controller in cluster.controllers():
             if controller.name == excluded:
                 continue
@@ -35,17 +35,17 @@
 
 async def wait_for_models(cluster: LocalCluster, models: tuple[str, ...]) -> None:
     address = cluster.worker_addresses[WORKER]
-    give_up_at = clock.now() + WAIT_SECONDS
+    deadline = clock.now() + WAIT_SECONDS
     while True:
         report = await cluster.get(address, "/v1/load", dict[str, Any])
         if tuple(report["models"]) == models:
             return
-        assert clock.now() < give_up_at, f"the engine holds {report['models']}"
+        assert clock.now() < deadline, f"the engine holds {report['models']}"
         await asyncio.sleep(0.05)
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-async def test_frozen_holder_is_not_obeyed_after_the_next(checks_fence: bool) -> None:
+async def test_orders_of_a_superseded_holder_are_ignored(checks_fence: bool) -> None:
     deployment = small_deployment()
     services = tuple(
         msgspec.structs.replace(service, checks_fence=checks_fence)
@@ -81,7 +81,7 @@
 
 async def wait_until_not_holding(cluster: LocalCluster, name: str) -> None:
     address = cluster.processes[name].peer_address
-    give_up_at = clock.now() + WAIT_SECONDS
+    deadline = clock.now() + WAIT_SECONDS
     while (await cluster.get(address, "/dump", dict[str, Any]))["publishes"]:
-        assert clock.now() < give_up_at, "the woken holder does not step down"
+        assert clock.now() < deadline, "the resumed holder does not step down"
         await asyncio.sleep(0.05)
--- a/tests/processes/test_unrepeatable.py
+++ b/tests/processes/test_unrepeatable.py
@@ -1,4 +1,4 @@
-"""Unrepeatable calls through real processes under failure: at most one run for each key."""
+"""Checks with real processes that failures cause at most one run per idempotency key."""
 
 import asyncio
 import signal
@@ -81,7 +81,7 @@
         caller = Caller(cluster.session, deployment.configuration())
         records: list[CallerRecord] = []
 
-        # Slow table: the freeze falls between the claim and its answer.
+        # With a slow table, the freeze occurs between the claim and its answer.
         await cluster.set_faults(cluster.table, delay_seconds=0.3)
         frozen = asyncio.create_task(send_keys(cluster, caller, "frozen", 0))
         await asyncio.sleep(0.15)
@@ -92,7 +92,7 @@
         await cluster.set_faults(cluster.table)
         records += await send_keys(cluster, caller, "frozen", 1)
 
-        # Slow back ends: the kill falls between the send and its answer.
+        # With slow back ends, the kill occurs between the call and its answer.
         for address in plain_addresses(cluster):
             await cluster.set_faults(address, slow_factor=50.0)
         killed = asyncio.create_task(send_keys(cluster, caller, "killed", 0))
--- a/tests/processes/test_whole_answers.py
+++ b/tests/processes/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers to their own request, with real processes and faulty back ends."""
+"""Checks with real processes that faulty back ends cause no incomplete or foreign answers."""
 
 import asyncio
 import signal
@@ -29,7 +29,7 @@
     return {record.code for record in records}
 
 
-async def test_one_faulty_back_end_of_two_spoils_no_answer() -> None:
+async def test_one_faulty_back_end_of_two_corrupts_no_answer() -> None:
     deployment = small_deployment()
     async with LocalCluster(deployment) as cluster:
         caller = Caller(cluster.session, deployment.configuration())
@@ -60,7 +60,7 @@
         assert codes(records) == {ResultCode.STAGE_FAILED.number}
 
 
-async def test_engine_process_killed_in_mid_stream() -> None:
+async def test_engine_process_killed_during_streams() -> None:
     deployment = small_deployment()
     async with LocalCluster(deployment) as cluster:
         caller = Caller(cluster.session, deployment.configuration())
@@ -69,7 +69,7 @@
         cluster.signal("standin-tax-llm", signal.SIGKILL)
         records = await sending
         assert check_records(records, []) == ()
-        assert all(record.code != 0 for record in records), "a silent end"
+        assert all(record.code != 0 for record in records), "a call ended without a result code"
         assert codes(records) <= {
             ResultCode.STAGE_FAILED.number,
             ResultCode.DEADLINE_EXCEEDED.number,
