--- a/benchmarks/forwarder.py
+++ b/benchmarks/forwarder.py
@@ -1,4 +1,4 @@
-"""The baseline: a bare aiohttp forwarder to one fixed back end."""
+"""Baseline of the benchmarks: a minimal aiohttp forwarder to one fixed back end."""
 
 import sys
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,4 +1,4 @@
-"""Measures what a gateway adds to a call, next to a bare forwarder in the same run."""
+"""Measures the gateway's overhead per call against a minimal forwarder in the same run."""
 
 import asyncio
 import subprocess
@@ -63,7 +63,7 @@
     token_cpu_seconds: float
 
     def added(self, name: str, callers: int) -> tuple[float, float]:
-        """Return what a target adds to the direct call's p50 and p99, in seconds."""
+        """Return the overhead of a target over a direct call, at p50 and p99, in seconds."""
         direct = self.timings["direct", callers]
         timing = self.timings[name, callers]
         return timing.p50 - direct.p50, timing.p99 - direct.p99
@@ -173,7 +173,7 @@
 
 
 async def token_cpu(session: aiohttp.ClientSession, cluster: LocalCluster) -> float:
-    """Return a gateway's processor seconds for each streamed token."""
+    """Return the processor time of a gateway per streamed token, in seconds."""
     gateway = cluster.gateways()[0]
     key = cluster.deployment.tenants[0].api_key
     streams, tokens = 16, 100
--- a/benchmarks/test_bounds.py
+++ b/benchmarks/test_bounds.py
@@ -1,4 +1,4 @@
-"""Regression bounds: counts, sizes, and ratios to a baseline of the same run."""
+"""Checks regression bounds: counts, sizes, and ratios to a baseline in the same run."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 from overhead import Overhead, format_overhead, measure
 
 BOUND_RESIDENT_BYTES = 64e6
-"""Most memory of a daemon for control, by the planned size."""
+"""Maximum memory of a control daemon, by the planned size."""
 
 CALLS = 1000
 MAXIMUM_CPU_RATIO = 2.5
@@ -26,8 +26,8 @@
 
 
 def check_cpu(overhead: Overhead, callers: int) -> None:
-    # Processor time is bounded, as the system counts it for each process: times on a shared
-    # machine jump, also as ratios. They are printed.
+    # The bound is on processor time as the operating system counts it for each process.
+    # Elapsed times on a shared machine vary too much, also as ratios; they are only printed.
     forwarder = overhead.timings["forwarder", callers]
     gateway = overhead.timings["gateway", callers]
     assert gateway.cpu_per_call <= MAXIMUM_CPU_RATIO * forwarder.cpu_per_call
@@ -69,7 +69,7 @@
 
 
 class CountingTable:
-    """Commits everything after one turn of the loop."""
+    """A table that commits every write after one iteration of the event loop."""
 
     async def read(self, keys: Sequence[str]) -> Rows:
         return Rows(tuple(Row(key, 0, None) for key in keys))
--- a/src/corkcrank/load/caller.py
+++ b/src/corkcrank/load/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends one arrival of a trace and checks its answer against a recomputation."""
+"""Sends the requests of a trace and checks each answer against a recomputed one."""
 
 import time
 from collections.abc import Mapping
@@ -17,18 +17,18 @@
 from corkcrank.standins.outputs import plain_result
 
 PLAIN_DEADLINE_SECONDS = 3.0
-"""Deadline that callers give plain calls."""
+"""Deadline that callers set for plain calls."""
 
 CALLER_PATIENCE_SECONDS = 2.0
-"""Time past the deadline after which a caller hangs up."""
+"""Time past the deadline after which a caller closes its connection."""
 
 CONNECTION_LOST = 0
-"""Code recorded when no final answer came."""
+"""Code recorded when no final answer was received."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRecord:
-    """What one caller saw; ``seconds`` is until the final answer."""
+    """The result of one request; ``seconds`` is the time until the final answer."""
 
     arrival: Arrival
     code: int
@@ -43,7 +43,7 @@
 
     @property
     def attained(self) -> bool:
-        """Return whether the whole answer came within the deadline."""
+        """Return whether the complete answer was received within the deadline."""
         return self.whole and self.seconds <= self.deadline_seconds
 
 
@@ -65,7 +65,7 @@
         self._configuration = configuration
 
     async def send(self, arrival: Arrival, gateway: Address) -> CallerRecord:
-        """Send one arrival and return what came back."""
+        """Send the request of one arrival and return its result."""
         started = clock.now()
         try:
             if arrival.kind == ArrivalKind.PIPELINE:
@@ -208,11 +208,11 @@
         elif name == "event":
             event = value
         elif name == "data":
-            _take_event(read, event, number, value, started)
+            _apply_event(read, event, number, value, started)
     return read
 
 
-def _take_event(read: _StreamRead, event: str, number: str, data: str, started: float) -> None:
+def _apply_event(read: _StreamRead, event: str, number: str, data: str, started: float) -> None:
     if event == "token":
         if read.first_token_seconds is None:
             read.first_token_seconds = clock.now() - started
--- a/src/corkcrank/load/chaos.py
+++ b/src/corkcrank/load/chaos.py
@@ -1,4 +1,4 @@
-"""A seeded random schedule of failures over mixed load, checked from both ends' records."""
+"""Injects seeded random failures under mixed load and checks callers' and back ends' records."""
 
 import asyncio
 import random
@@ -22,24 +22,24 @@
 from corkcrank.standins.plain import Run, Runs
 
 PAUSE_SECONDS = (0.3, 1.5)
-"""Range of the pause between failures."""
+"""Minimum and maximum pause between failures."""
 
 FAILURE_SECONDS = (0.5, 6.0)
-"""Range of a failure's length."""
+"""Minimum and maximum duration of a failure."""
 
 REPEATS = 4
-"""Times that a caller repeats an unrepeatable call that was not answered."""
+"""Maximum number of times that a caller sends an unrepeatable call until it is answered."""
 
 REPEAT_PAUSE_SECONDS = 1.0
-"""A caller's pause before it repeats."""
+"""Pause of a caller before each retry."""
 
 END_SECONDS = 20.0
-"""Longest wait, after the last failure, until one version is in force everywhere."""
+"""Maximum wait, after the last failure, until all nodes have adopted one version."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChaosResult:
-    """What a run found."""
+    """The result of one run."""
 
     seed: int
     failures: tuple[str, ...]
@@ -49,7 +49,7 @@
 
 
 class ChaosRun:
-    """One run on one cluster."""
+    """One run of random failures and mixed load on one cluster."""
 
     def __init__(self, deployment: Deployment, seed: int, shape: TraceShape) -> None:
         self._deployment = deployment
@@ -63,13 +63,13 @@
         self._confirmed = 0
 
     async def run(self) -> ChaosResult:
-        """Play the trace under the schedule, mend everything, and check."""
+        """Run the trace under the schedule, undo all failures, and check the records."""
         async with LocalCluster(self._deployment) as cluster:
             caller = Caller(cluster.session, self._deployment.configuration())
-            playing = asyncio.create_task(self._play(cluster, caller))
+            trace_task = asyncio.create_task(self._send_trace(cluster, caller))
             await self._fail_at_random(cluster)
             await asyncio.gather(*self._tasks)
-            records = await playing
+            records = await trace_task
             versions = await self._wait_for_one_version(cluster)
             runs = await _all_runs(cluster, self._deployment)
         violations = list(check_records(records, runs))
@@ -79,7 +79,7 @@
             self._seed, tuple(self._failures), tuple(records), tuple(violations), versions
         )
 
-    async def _play(self, cluster: LocalCluster, caller: Caller) -> list[CallerRecord]:
+    async def _send_trace(self, cluster: LocalCluster, caller: Caller) -> list[CallerRecord]:
         loop = asyncio.get_running_loop()
         started = loop.time()
         tasks: list[asyncio.Task[list[CallerRecord]]] = []
@@ -119,14 +119,14 @@
 
     def _pick_daemon(self, cluster: LocalCluster) -> str | None:
         daemons = [item.name for item in (*cluster.gateways(), *cluster.controllers())]
-        standing = sorted(set(daemons) - self._down)
-        return self._source.choice(standing) if len(standing) > 2 else None
+        running = sorted(set(daemons) - self._down)
+        return self._source.choice(running) if len(running) > 2 else None
 
     async def _kill(self, cluster: LocalCluster) -> None:
         name = self._pick_daemon(cluster)
         if name is None:
             return
-        self._note(f"kill {name}")
+        self._record_failure(f"kill {name}")
         self._down.add(name)
         seconds = self._source.uniform(0.1, 2.0)
         cluster.signal(name, signal.SIGKILL)
@@ -140,7 +140,7 @@
         if name is None:
             return
         seconds = self._source.uniform(*FAILURE_SECONDS)
-        self._note(f"freeze {name} for {seconds:.1f} s")
+        self._record_failure(f"freeze {name} for {seconds:.1f} s")
         self._down.add(name)
         cluster.signal(name, signal.SIGSTOP)
         await asyncio.sleep(seconds)
@@ -174,7 +174,7 @@
         if name in self._down:
             return
         seconds = self._source.uniform(*FAILURE_SECONDS)
-        self._note(f"{name} {faults} for {seconds:.1f} s")
+        self._record_failure(f"{name} {faults} for {seconds:.1f} s")
         self._down.add(name)
         await cluster.set_faults(address, **faults)
         await asyncio.sleep(seconds)
@@ -182,7 +182,7 @@
         self._down.discard(name)
 
     async def _race_operators(self, cluster: LocalCluster) -> None:
-        self._note("two operators race")
+        self._record_failure("two operators race")
         await asyncio.gather(self._operate(cluster, 0), self._operate(cluster, 1))
 
     async def _operate(self, cluster: LocalCluster, controller: int) -> None:
@@ -194,23 +194,23 @@
         if answer.code == ResultCode.OK.number:
             self._confirmed = max(self._confirmed, answer.version)
 
-    def _note(self, failure: str) -> None:
+    def _record_failure(self, failure: str) -> None:
         self._failures.append(failure)
 
     async def _wait_for_one_version(self, cluster: LocalCluster) -> tuple[int, ...]:
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + END_SECONDS
+        timeout_at = loop.time() + END_SECONDS
         while True:
             versions = await _versions(cluster)
             if versions and len(set(versions)) == 1 and versions[0] >= self._confirmed:
                 return versions
-            if loop.time() > give_up_at:
+            if loop.time() > timeout_at:
                 return versions
             await asyncio.sleep(0.2)
 
 
 async def _run(action: Callable[[LocalCluster], Awaitable[None]], cluster: LocalCluster) -> None:
-    # A frozen or killed controller, or the table's outage, may leave an action unanswered.
+    # A suspended or killed controller, or a table outage, can leave an action unanswered.
     try:
         await action(cluster)
     except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
--- a/src/corkcrank/load/cuttable_link.py
+++ b/src/corkcrank/load/cuttable_link.py
@@ -1,4 +1,4 @@
-"""A TCP link that can be cut: forwards bytes between one process and one address."""
+"""A TCP proxy that forwards bytes between one process and one address until it is cut."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 from corkcrank.contracts.identifiers import Address
 
 CHUNK_BYTES = 65_536
-"""Most bytes read at once."""
+"""Maximum number of bytes per read."""
 
 
 class CuttableLink:
@@ -20,12 +20,12 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         host, port = self.address.rsplit(":", 1)
         self._server = await asyncio.start_server(self._accept, host, int(port))
 
     def cut(self) -> None:
-        """Close every connection and accept none."""
+        """Close all connections and accept no new ones."""
         self._is_cut = True
         for writer in self._writers:
             writer.close()
--- a/src/corkcrank/load/deployment.py
+++ b/src/corkcrank/load/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment to run on one machine: places, services, tenants and pipelines."""
+"""Describes a deployment to run on one machine: machines, services, tenants, pipelines."""
 
 import tomllib
 from pathlib import Path
@@ -66,7 +66,7 @@
         return self.zones[number % len(self.zones)]
 
     def configuration(self) -> Configuration:
-        """Return the shared configuration that operators confirm first."""
+        """Return the initial shared configuration, which operators confirm first."""
         return Configuration(
             version=0,
             tiers=self.tiers,
--- a/src/corkcrank/load/expected.py
+++ b/src/corkcrank/load/expected.py
@@ -1,4 +1,4 @@
-"""Recomputes the answer that a request must have, from its input and tenant alone."""
+"""Computes the expected answer of a request from its input and tenant alone."""
 
 from corkcrank.contracts.configuration import Configuration, Pipeline, ServiceKind
 from corkcrank.contracts.identifiers import TenantName
@@ -14,7 +14,7 @@
     question: str,
     max_tokens: int,
 ) -> str:
-    """Return the whole text that the pipeline must answer."""
+    """Return the complete text that the pipeline must return."""
     kinds = {service.name: service.kind for service in configuration.services}
     text = question
     passages: tuple[Passage, ...] = ()
--- a/src/corkcrank/load/invariants.py
+++ b/src/corkcrank/load/invariants.py
@@ -1,4 +1,4 @@
-"""The invariant checker: callers' records against back ends' own records."""
+"""Checks invariants of a run: compares callers' records with those of the back ends."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken promise."""
+    """One violated invariant."""
 
     promise: str
     detail: str
 
 
 def check_records(records: Sequence[CallerRecord], runs: Sequence[Run]) -> tuple[Violation, ...]:
-    """Return every broken promise found in a finished run."""
+    """Return all invariant violations found in a finished run."""
     unrepeatable = [item for item in records if item.arrival.kind == ArrivalKind.UNREPEATABLE]
     keys = {item.arrival.key for item in unrepeatable}
     counted = [run for run in runs if run.key in keys]
--- a/src/corkcrank/load/local_cluster.py
+++ b/src/corkcrank/load/local_cluster.py
@@ -28,13 +28,13 @@
 from corkcrank.standins.faults import FIRST_BOOT, Faults
 
 START_SECONDS = 30.0
-"""Longest wait for a deployment to become ready."""
+"""Maximum wait for a deployment to become ready."""
 
 POLL_SECONDS = 0.05
-"""Time between looks at a condition."""
+"""Interval between checks of a condition."""
 
 CLUSTER_HOST = 254
-"""Host number of a cluster's loopback address."""
+"""Host number of the loopback address of a cluster."""
 
 PROGRAMS = {
     "gateway": "corkcrank.gateway.program",
@@ -57,31 +57,31 @@
 
 
 class PortSource:
-    """Gives free loopback ports; each is held open until all have been chosen."""
+    """Allocates free loopback ports; keeps each one bound until all have been chosen."""
 
     def __init__(self) -> None:
         self._host = loopback_address(CLUSTER_HOST)
-        self._held: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
     def address(self) -> Address:
         """Return a loopback address that nothing listens on."""
-        held = socket.socket()
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.bind((self._host, 0))
-        self._held.append(held)
-        return Address(f"{self._host}:{held.getsockname()[1]}")
+        bound = socket.socket()
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound.bind((self._host, 0))
+        self._sockets.append(bound)
+        return Address(f"{self._host}:{bound.getsockname()[1]}")
 
     def release(self) -> None:
-        """Let the ports go, for the processes to bind."""
-        for held in self._held:
-            held.close()
-        self._held.clear()
+        """Close the sockets, so that the processes can bind the ports."""
+        for bound in self._sockets:
+            bound.close()
+        self._sockets.clear()
 
 
 class LocalCluster:
     """A deployment's processes, with the faults that tests need.
 
-    ``cuttable`` names daemons that reach the table over a link of their own.
+    ``cuttable`` names the daemons that reach the table over a separate link, for cutting.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
 
     async def __aenter__(self) -> "LocalCluster":
         """Start every process, confirm the configuration, and wait until all serve."""
-        # Callers must not wait for one another in the load tool itself.
+        # Unlimited connections, so that callers do not wait for each other in the load tool.
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(total=10.0)
         )
@@ -121,7 +121,7 @@
         return self
 
     async def __aexit__(self, *details: object) -> None:
-        """End every process that was started here."""
+        """Stop all processes of the cluster."""
         for link in self.table_links.values():
             await link.stop()
         if self._session is not None:
@@ -137,7 +137,7 @@
         return [item for item in self.processes.values() if item.program == "controller"]
 
     def start_process(self, name: str) -> LocalProcess:
-        """Start a process, or start it again after it ended."""
+        """Start a process, also after it has exited."""
         program = name.split("-", 1)[0]
         self._group.start(name, _run_line(program), self._settings[name])
         addresses = self._addresses.get(name, (Address(""), Address("")))
@@ -150,17 +150,17 @@
         self._group.signal(name, number)
 
     async def wait_ended(self, name: str, timeout: float = 30.0) -> int:
-        """Wait until a process has ended; return its exit status."""
+        """Wait until a process has exited, and return its exit status."""
         popen = self.processes[name].popen
         await self.wait_until(lambda: popen.poll() is not None, timeout)
         return popen.wait()
 
     def log_text(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return self._group.log_text(name)
 
     async def wait_until(self, condition: Callable[[], bool], timeout: float) -> None:
-        """Wait for a condition; raises ``TimeoutError``."""
+        """Wait until a condition holds; raises ``TimeoutError``."""
         give_up_at = clock.now() + timeout
         while not condition():
             if clock.now() > give_up_at:
@@ -168,7 +168,7 @@
             await asyncio.sleep(POLL_SECONDS)
 
     async def set_faults(self, address: Address, **faults: Any) -> None:
-        """Replace the faults in force at a stand-in; with none, switch all off."""
+        """Replace the active faults of a stand-in; without arguments, switch all faults off."""
         body = msgspec.json.encode(Faults(**faults))
         async with self.session.post(f"http://{address}/faults", data=body) as response:
             response.raise_for_status()
@@ -185,14 +185,14 @@
             return msgspec.json.decode(await response.read(), type=body_type)
 
     async def draw_plan(self, intent: Intent, controller: int = 0) -> PlanView:
-        """Ask a controller for a plan."""
+        """Request a plan from a controller."""
         url = f"http://{self.controllers()[controller].peer_address}/operator/plans"
         async with self.session.post(url, data=msgspec.json.encode(intent)) as response:
             response.raise_for_status()
             return msgspec.json.decode(await response.read(), type=PlanView)
 
     async def confirm_plan(self, plan_id: str, controller: int = 0) -> ConfirmAnswer:
-        """Ask a controller to confirm a plan."""
+        """Confirm a plan at a controller."""
         address = self.controllers()[controller].peer_address
         url = f"http://{address}/operator/plans/{plan_id}/confirm"
         async with self.session.post(url) as response:
@@ -244,7 +244,7 @@
         await self._wait_answering(f"http://{self.controllers()[0].peer_address}/operator/status")
         await self._wait_answering(f"http://{self.machine_list}/machines")
         await self._wait_answering(f"http://{self.table}/counters")
-        # The list names back ends that do not listen yet; calls to them would be refused.
+        # The machine list names back ends before they listen; calls to them would be refused.
         for worker in self.worker_addresses.values():
             await self._wait_answering(f"http://{worker}/v1/load")
         await self.apply(ReplaceConfiguration(self.deployment.configuration()))
--- a/src/corkcrank/load/loopback.py
+++ b/src/corkcrank/load/loopback.py
@@ -1,18 +1,18 @@
-"""Loopback addresses that no other process of this machine uses.
+"""Computes loopback addresses that no other process of this machine uses.
 
-Every address of 127.0.0.0/8 is this machine. Connections that go out leave from 127.0.0.1
-and take any free port there, also one that a killed process is about to bind again. A
-server on an address of its own can lose its port neither to them nor to another test run.
+Every address in 127.0.0.0/8 belongs to this machine. Outgoing connections use a free port
+of 127.0.0.1 as their source, which can be a port that a killed process is about to bind again.
+A server with its own address loses its port neither to them nor to another test run.
 """
 
 import os
 
 PROCESSES_APART = 254 * 256
-"""Processes whose ids differ by less than this have different addresses."""
+"""Minimum difference of process ids at which two processes can share an address."""
 
 
 def loopback_address(host: int, process: int | None = None) -> str:
-    """Return the loopback address of a host number, 1 to 254, of a process: this one.
+    """Return the address of a host number, 1 to 254, of a process, by default this one.
 
     >>> loopback_address(7, process=515), loopback_address(7, process=516)
     ('127.3.3.7', '127.3.4.7')
--- a/src/corkcrank/load/process_group.py
+++ b/src/corkcrank/load/process_group.py
@@ -1,4 +1,4 @@
-"""Starts processes with settings files in a temporary folder, and ends just those."""
+"""Starts processes with settings files in a temporary folder, and stops only those."""
 
 import signal
 import subprocess
@@ -11,7 +11,7 @@
 
 
 class ProcessGroup:
-    """The processes that one tool started."""
+    """The processes that one tool has started."""
 
     def __init__(self) -> None:
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -19,7 +19,7 @@
         self.root = Path(self._directory.name)
 
     def start(self, name: str, run_line: str, settings: dict[str, Any]) -> None:
-        """Write a process's settings and start it, or start it again after it ended."""
+        """Write a process's settings file and start the process, also after it has exited."""
         path = self.root / f"{name}.toml"
         path.write_text(write_toml(settings), encoding="utf-8")
         with (self.root / f"{name}.log").open("ab") as log:
@@ -32,11 +32,11 @@
         self.processes[name].send_signal(number)
 
     def log_text(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return (self.root / f"{name}.log").read_text(encoding="utf-8")
 
     def close(self) -> None:
-        """End every process that was started here, frozen ones too."""
+        """Stop all processes of the group, including suspended ones."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/src/corkcrank/load/process_usage.py
+++ b/src/corkcrank/load/process_usage.py
@@ -1,15 +1,15 @@
-"""Processor time and memory of a process, as the operating system counts them."""
+"""Reads the processor time and memory of a process from the operating system."""
 
 import os
 import resource
 from pathlib import Path
 
 USER_TIME_FIELD = 13
-"""Place of the user time in /proc/PID/stat, with the system time after it."""
+"""Index of the user time in /proc/PID/stat; the system time follows it."""
 
 
 def cpu_seconds_of(pid: int) -> float:
-    """Return the processor seconds spent by a process so far."""
+    """Return the processor time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     # The name in parentheses is the second field; fields are counted from zero.
     user, system = fields[USER_TIME_FIELD - 2 : USER_TIME_FIELD]
--- a/src/corkcrank/load/program.py
+++ b/src/corkcrank/load/program.py
@@ -36,7 +36,7 @@
     rate: float = typer.Option(20.0, help="Requests a second."),
     seed: int = typer.Option(1, help="Seed of the trace."),
 ) -> None:
-    """Serve a seeded load on each deployment and print what was served.
+    """Run a seeded load on each deployment and print the report.
 
     Example: corkcrank-load demo examples/association.toml --seconds 5
     """
@@ -83,7 +83,7 @@
     rate: float = typer.Option(15.0, help="Requests a second."),
     seed: int = typer.Option(1, help="Seed of trace and failures; replays a run."),
 ) -> None:
-    """Put failures on a deployment at random and check every promise afterwards.
+    """Inject random failures into a deployment and check all invariants afterwards.
 
     Example: corkcrank-load chaos examples/association.toml --seconds 120 --seed 7
     """
@@ -103,7 +103,7 @@
 
 
 async def run_demo(path: Path, shape: TraceShape, seed: int) -> LoadReport:
-    """Start a deployment, play a trace, stop it, and print the report."""
+    """Start a deployment, run a trace, stop it, and print the report."""
     deployment = load_deployment(path)
     trace = make_trace(deployment, shape, seed)
     async with LocalCluster(deployment) as cluster:
--- a/src/corkcrank/load/report.py
+++ b/src/corkcrank/load/report.py
@@ -1,4 +1,4 @@
-"""Reports of a load run: attainment by tier, results by code, cost by stage."""
+"""Summarizes a load run: attainment by tier, results by code, cost by stage."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -20,13 +20,13 @@
 
     @property
     def attainment(self) -> float:
-        """Return the share answered whole within its deadline."""
+        """Return the share of requests answered completely within their deadline."""
         return self.attained / max(1, self.requests)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a run served."""
+    """The figures of one load run."""
 
     tiers: tuple[TierLine, ...]
     codes: tuple[tuple[str, int], ...]
@@ -37,7 +37,7 @@
 
     @property
     def attainment(self) -> float:
-        """Return the share of all requests answered whole within their deadline."""
+        """Return the share of all requests answered completely within their deadline."""
         return self.attained / max(1, self.requests)
 
 
--- a/src/corkcrank/load/runner.py
+++ b/src/corkcrank/load/runner.py
@@ -1,4 +1,4 @@
-"""Plays a trace against a cluster: open loop, spread evenly over the gateways."""
+"""Sends a trace to a cluster in an open loop, spread evenly over the gateways."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -12,7 +12,7 @@
 async def play_trace(
     trace: Sequence[Arrival], caller: Caller, gateways: Callable[[], Sequence[Address]]
 ) -> list[CallerRecord]:
-    """Send every arrival at its time; ``gateways`` is asked for each, as a balancer is."""
+    """Send each arrival at its time; ``gateways`` is called for each, like a load balancer."""
     started = clock.now()
     tasks: list[asyncio.Task[CallerRecord]] = []
     for arrival in trace:
--- a/src/corkcrank/load/toml_writer.py
+++ b/src/corkcrank/load/toml_writer.py
@@ -1,4 +1,4 @@
-"""Writes plain settings as TOML, for the files that a local cluster is started with."""
+"""Writes settings as TOML, for the settings files of a local cluster."""
 
 import json
 from typing import Any
--- a/src/corkcrank/load/trace.py
+++ b/src/corkcrank/load/trace.py
@@ -1,4 +1,4 @@
-"""Seeded traces: which requests arrive when, from whom, for what."""
+"""Generates seeded traces: the time, tenant and content of each request."""
 
 import random
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 """Share of pipeline requests whose callers ask for a stream."""
 
 COMMON_QUESTIONS = 50
-"""Questions that recur, so that prompts share prefixes."""
+"""Recurring questions, so that prompts share prefixes."""
 
 
 class ArrivalKind(StrEnum):
-    """What a caller asks for."""
+    """The kind of call that a caller makes."""
 
     PIPELINE = "pipeline"
     PLAIN = "plain"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceShape:
-    """How much arrives: rates a second, a burst factor, and shares of plain calls."""
+    """The load: rates per second, a burst factor, and shares of plain calls."""
 
     requests_per_second: float
     seconds: float
--- a/src/corkcrank/reports/__init__.py
+++ b/src/corkcrank/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What operators read from the nodes' logs afterwards; no daemon imports this package."""
+"""Reports computed offline from the nodes' logs, for operators; no daemon imports this package."""
--- a/src/corkcrank/reports/call_story.py
+++ b/src/corkcrank/reports/call_story.py
@@ -1,4 +1,4 @@
-"""One call as the logs of all machines tell it: where its time went and how it ended."""
+"""Rebuilds each call from the logs of all machines: where its time went and how it ended."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 
 class Loss(StrEnum):
-    """Why a call earned less than it could; ``NONE`` for one served in time."""
+    """The reason why a call failed or was served late; ``NONE`` for one served in time."""
 
     NONE = "in time"
     FORECAST = "refused: forecast"
@@ -65,10 +65,10 @@
     "CAPACITY_SHORT": Loss.STAGE_NOT_BEGUN,
     "DRAINING": Loss.STAGE_STOPPING,
 }
-"""Losses of calls that were refused when their stages had failed, not on arrival."""
+"""Losses of calls that were refused after their stages had failed, not on arrival."""
 
 _STAGE_DETAILS = ("stage ", "owner ", "worker is ", "too long a wait")
-"""How the details begin that tell why a stage failed."""
+"""Prefixes of the log details that give the reason of a stage failure."""
 
 _LATE_BY_STEP = {
     Step.STAGE_QUEUE: Loss.LATE_STAGE_QUEUE,
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True)
 class CallStory:
-    """Times are in seconds; ``began_at`` is of the machine's time of day.
+    """One call that ended; times are in seconds, ``began_at`` on the machine's wall clock.
 
-    ``held`` is the time from the call's arrival to its end, ``left`` what its caller would
-    still have waited then, and ``retry_after`` when the caller was told to come back,
-    ``None`` if it was not told or the log does not say.
+    ``held`` is the time from the call's arrival to its end. ``left`` is how much longer its
+    caller would have waited at that time. ``retry_after`` is the delay after which the caller
+    was asked to retry, ``None`` if the reply gave no delay or the log does not record it.
     """
 
     call_id: str
@@ -106,17 +106,17 @@
 
     @property
     def ended_at(self) -> float:
-        """Return when the call ended, in seconds of the machine's time of day."""
+        """Return when the call ended, in seconds on the machine's wall clock."""
         return self.began_at + self.held
 
     @property
     def caller_end_at(self) -> float:
-        """Return until when the caller waits, in seconds of the machine's time of day."""
+        """Return until when the caller waits, in seconds on the machine's wall clock."""
         return self.ended_at + self.left
 
     @property
     def loss(self) -> Loss:
-        """Return why the call was lost or late."""
+        """Return the reason why the call failed or was late, or ``Loss.NONE``."""
         if self.outcome == "200":
             return self._lateness()
         if self.outcome in _STAGE_CODES:
@@ -143,12 +143,12 @@
 
 
 def tell_stories(records: Iterable[LogRecord]) -> list[CallStory]:
-    """Return the calls that ended, in order of their end; ``records`` are in order of time."""
+    """Return the calls that ended, in order of their end; ``records`` must be sorted by time."""
     steps: dict[str, dict[Step, float]] = {}
     batches: dict[str, float] = {}
     pauses: dict[str, LogRecord] = {}
-    told: dict[str, float] = {}
-    stories = []
+    retry_delays: dict[str, float] = {}
+    summaries = []
     for record in records:
         event, call = record["event"], record.get("call", "")
         if event == LogEvent.BATCH_ENDED:
@@ -164,16 +164,16 @@
         elif event == LogEvent.STREAM_ENDED:
             pauses[call] = record
         elif event == LogEvent.CALL_REFUSED and "retry_after" in record:
-            told[call] = record["retry_after"]
+            retry_delays[call] = record["retry_after"]
         elif event == LogEvent.CALL_ENDED:
-            story = _story(record, steps.pop(call, {}), pauses.pop(call, None))
-            story.retry_after = record.get("retry_after", told.pop(call, None))
-            stories.append(story)
+            summary = _summarize(record, steps.pop(call, {}), pauses.pop(call, None))
+            summary.retry_after = record.get("retry_after", retry_delays.pop(call, None))
+            summaries.append(summary)
             batches.pop(call, None)
-    return stories
+    return summaries
 
 
-def _story(record: LogRecord, steps: dict[Step, float], stream: LogRecord | None) -> CallStory:
+def _summarize(record: LogRecord, steps: dict[Step, float], stream: LogRecord | None) -> CallStory:
     first_byte = float(record["first_byte"])
     steps[Step.OTHER] = max(0.0, first_byte - sum(steps.values()))
     return CallStory(
--- a/src/corkcrank/reports/held.py
+++ b/src/corkcrank/reports/held.py
@@ -1,4 +1,4 @@
-"""How long calls were held that were not served, by route and cause."""
+"""Reports how long calls waited that were not served, by route and cause."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -9,10 +9,10 @@
 from corkcrank.reports.call_story import CallStory, Loss
 
 HELD_BOUNDS = (0.02, 0.1, 0.5, 1.0, 2.0)
-"""Upper bounds of all buckets but the last, in seconds; a bound belongs to the next bucket."""
+"""Exclusive upper bounds of all buckets but the last, in seconds."""
 
 HIGH_PERCENTILE = 0.95
-"""The share of calls that the upper figure of a group covers."""
+"""Percentile, as a share, that is reported beside the median of a group."""
 
 LATE_LOSSES = frozenset(
     (
@@ -23,17 +23,18 @@
         Loss.LATE_OTHER,
     )
 )
-"""Calls that were served, but not as fast as they should have been."""
+"""Losses of calls that were served, but later than their objective."""
 
 SERVED_LOSSES = LATE_LOSSES | {Loss.NONE}
-"""Calls that had a worker's whole answer."""
+"""Losses of calls that received a worker's complete answer."""
 
 
 @dataclass(slots=True)
 class HeldCalls:
     """Calls of one route and rank that ended for one cause without being served.
 
-    ``seconds`` holds how long each was held, ``shares`` the same as a share of its objective.
+    ``seconds`` lists the time from arrival to end of each call, ``shares`` the same time as a
+    share of the call's objective.
     """
 
     route: str
@@ -49,7 +50,7 @@
 
     @property
     def buckets(self) -> list[int]:
-        """Return the number of calls in each bucket of ``HELD_BOUNDS``, the last is open.
+        """Return the number of calls in each bucket of ``HELD_BOUNDS``; the last has no bound.
 
         >>> HeldCalls("r", "0/0", Loss.FULL, [0.0, 0.019, 0.02, 1.5, 60.0]).buckets
         [2, 1, 0, 0, 1, 1]
@@ -61,30 +62,30 @@
 
     @property
     def median_share(self) -> float:
-        """Return the median time held as a share of the objective."""
+        """Return the median time from arrival to end, as a share of the objective."""
         return median(self.shares)
 
     @property
     def high_share(self) -> float:
-        """Return the 95th percentile of the time held as a share of the objective."""
+        """Return the 95th percentile of the time to the end, as a share of the objective."""
         return percentile(self.shares, HIGH_PERCENTILE)
 
-    def add(self, story: CallStory) -> None:
-        """Take one call."""
-        self.seconds.append(story.held)
-        self.shares.append(story.held / max(1e-9, story.objective))
+    def add(self, summary: CallStory) -> None:
+        """Add one call to the figures."""
+        self.seconds.append(summary.held)
+        self.shares.append(summary.held / max(1e-9, summary.objective))
 
 
 @dataclass(slots=True)
 class HeldReport:
-    """Calls held and not served: over all routes by cause, and by route and cause."""
+    """Calls that were not served: over all routes by cause, and by route and cause."""
 
     totals: list[HeldCalls]
     routes: list[HeldCalls]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the least value that is at least as large as ``share`` of all (nearest rank).
+    """Return the smallest value that is at least as large as ``share`` of all (nearest rank).
 
     >>> percentile([3.0, 1.0, 2.0, 4.0], 0.5), percentile([3.0, 1.0, 2.0, 4.0], 0.95)
     (2.0, 4.0)
@@ -92,17 +93,17 @@
     return sorted(values)[max(1, ceil(share * len(values))) - 1]
 
 
-def held_calls(stories: Iterable[CallStory]) -> HeldReport:
-    """Return the calls that were not served: causes and routes by the number of calls."""
+def held_calls(summaries: Iterable[CallStory]) -> HeldReport:
+    """Return the calls that were not served; within a group, the most frequent cause first."""
     totals: dict[Loss, HeldCalls] = {}
     routes: dict[tuple[str, str, Loss], HeldCalls] = {}
-    for story in stories:
-        loss = story.loss
+    for summary in summaries:
+        loss = summary.loss
         if loss in SERVED_LOSSES:
             continue
-        totals.setdefault(loss, HeldCalls("all routes", "", loss)).add(story)
-        key = (story.route, story.rank, loss)
-        routes.setdefault(key, HeldCalls(*key)).add(story)
+        totals.setdefault(loss, HeldCalls("all routes", "", loss)).add(summary)
+        key = (summary.route, summary.rank, loss)
+        routes.setdefault(key, HeldCalls(*key)).add(summary)
     return HeldReport(
         sorted(totals.values(), key=lambda item: -item.calls),
         sorted(routes.values(), key=lambda item: (item.rank, item.route, -item.calls)),
--- a/src/corkcrank/reports/log_records.py
+++ b/src/corkcrank/reports/log_records.py
@@ -1,4 +1,4 @@
-"""Reads the structured lines that nodes wrote, from files of any collector."""
+"""Reads the structured log lines of nodes from files written by any log collector."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from pathlib import Path
@@ -7,14 +7,14 @@
 import msgspec
 
 LogRecord = Mapping[str, Any]
-"""One line's fields, as the node wrote them; ``event`` names its kind."""
+"""Fields of one log line as the node wrote them; ``event`` names the kind of line."""
 
 
 def read_records(file: Path) -> Iterator[LogRecord]:
     """Return the structured lines of a file.
 
-    Lines that are no JSON, e.g. of another program in the same stream, are passed over;
-    text before the first brace, such as a time that a collector adds, is as well.
+    Lines that are not JSON, e.g. of another program in the same stream, are skipped. Text
+    before the first brace, such as a timestamp that a collector adds, is ignored.
     """
     with file.open("rb") as lines:
         for line in lines:
@@ -24,14 +24,14 @@
 
 
 def read_all(files: Iterable[Path]) -> list[LogRecord]:
-    """Return the lines of all files in order of time."""
+    """Return the records of all files, sorted by time."""
     records = [record for file in files for record in read_records(file)]
     records.sort(key=time_of)
     return records
 
 
 def time_of(record: LogRecord) -> float:
-    """Return when a line was written, in seconds of the machine's time of day."""
+    """Return when a line was written, in seconds on the machine's wall clock."""
     return float(record.get("time", 0.0))
 
 
--- a/src/corkcrank/reports/losses.py
+++ b/src/corkcrank/reports/losses.py
@@ -1,4 +1,4 @@
-"""Where calls were lost or late: by route, cause and second, and how returning callers fared."""
+"""Builds the report of failed and late calls by route, cause and time, and of retries."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -12,12 +12,12 @@
 from corkcrank.reports.work_for_nobody import WorkForNobody, work_for_nobody
 
 WINDOW_SECONDS = 2.0
-"""Length of the windows in which losses are shown over time."""
+"""Length of one time window in the list of losses over time."""
 
 
 @dataclass(slots=True)
 class RouteLosses:
-    """Calls of one route and rank, by cause; ``waits`` holds the seconds of each step."""
+    """Calls of one route and rank, by cause; ``waits`` lists the seconds spent in each step."""
 
     route: str
     rank: str
@@ -32,20 +32,20 @@
         """Return the number of calls."""
         return self.causes.total()
 
-    def add(self, story: CallStory) -> None:
-        """Take one call."""
-        self.causes[story.loss] += 1
-        if story.returning:
+    def add(self, summary: CallStory) -> None:
+        """Add one call to the figures."""
+        self.causes[summary.loss] += 1
+        if summary.returning:
             self.returned += 1
-            self.returned_in_time += story.loss is Loss.NONE
-        if story.outcome == "200":
-            for step, seconds in story.steps.items():
+            self.returned_in_time += summary.loss is Loss.NONE
+        if summary.outcome == "200":
+            for step, seconds in summary.steps.items():
                 self.waits.setdefault(step, []).append(seconds)
 
 
 @dataclass(slots=True)
 class WindowLosses:
-    """Calls that began in one window, by cause; ``begins`` is in seconds from the first."""
+    """Calls that began in one window, by cause; ``begins`` counts seconds from the first call."""
 
     begins: float
     causes: Counter[Loss] = field(default_factory=Counter)
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class LossReport:
-    """Everything that ``corkcrank losses`` shows."""
+    """All figures that ``corkcrank losses`` prints."""
 
     routes: list[RouteLosses]
     windows: list[WindowLosses]
@@ -63,34 +63,34 @@
     for_nobody: list[WorkForNobody]
 
 
-def make_report(stories: Sequence[CallStory], records: Sequence[LogRecord]) -> LossReport:
-    """Return the report over calls and the log lines that they were told from."""
+def make_report(summaries: Sequence[CallStory], records: Sequence[LogRecord]) -> LossReport:
+    """Return the report on calls, with the log records from which they were rebuilt."""
     return LossReport(
-        routes=_by_route(stories),
-        windows=_by_window(stories),
+        routes=_by_route(summaries),
+        windows=_by_window(summaries),
         workers=worker_times(records),
-        held=held_calls(stories),
-        sent_back=sent_back(stories),
+        held=held_calls(summaries),
+        sent_back=sent_back(summaries),
         for_nobody=work_for_nobody(records),
     )
 
 
-def _by_route(stories: Sequence[CallStory]) -> list[RouteLosses]:
+def _by_route(summaries: Sequence[CallStory]) -> list[RouteLosses]:
     routes: dict[str, RouteLosses] = {}
-    for story in stories:
-        key = f"{story.route} {story.rank}"
+    for summary in summaries:
+        key = f"{summary.route} {summary.rank}"
         known = routes.get(key)
         if known is None:
-            known = routes[key] = RouteLosses(story.route, story.rank, story.objective)
-        known.add(story)
+            known = routes[key] = RouteLosses(summary.route, summary.rank, summary.objective)
+        known.add(summary)
     return sorted(routes.values(), key=lambda item: (item.rank, item.route))
 
 
-def _by_window(stories: Sequence[CallStory]) -> list[WindowLosses]:
-    first = min((story.began_at for story in stories), default=0.0)
+def _by_window(summaries: Sequence[CallStory]) -> list[WindowLosses]:
+    first = min((summary.began_at for summary in summaries), default=0.0)
     windows: dict[int, WindowLosses] = {}
-    for story in stories:
-        number = int((story.began_at - first) / WINDOW_SECONDS)
+    for summary in summaries:
+        number = int((summary.began_at - first) / WINDOW_SECONDS)
         window = windows.setdefault(number, WindowLosses(number * WINDOW_SECONDS))
-        window.causes[story.loss] += 1
+        window.causes[summary.loss] += 1
     return [windows[number] for number in sorted(windows)]
--- a/src/corkcrank/reports/losses_plot.py
+++ b/src/corkcrank/reports/losses_plot.py
@@ -1,4 +1,4 @@
-"""The losses of a time as a picture; needs matplotlib, which daemons do not."""
+"""Plots failed and late calls over time; needs matplotlib, which daemons do not need."""
 
 from pathlib import Path
 
@@ -9,11 +9,11 @@
 from corkcrank.reports.losses import WINDOW_SECONDS, LossReport
 
 SIZE_INCHES = (11.0, 5.0)
-"""Width and height of the picture: a page's width at the usual resolution."""
+"""Width and height of the plot: a page's width at the usual resolution."""
 
 
 def plot_losses(report: LossReport, path: Path) -> None:
-    """Write a stacked bar of causes for each window to a file."""
+    """Write a bar chart to a file, with one bar of stacked causes for each window."""
     figure = Figure(figsize=SIZE_INCHES)
     FigureCanvasAgg(figure)
     axes = figure.subplots()
--- a/src/corkcrank/reports/losses_table.py
+++ b/src/corkcrank/reports/losses_table.py
@@ -1,4 +1,4 @@
-"""The losses of a time as text."""
+"""Formats the report of failed and late calls as text."""
 
 from collections.abc import Iterator, Sequence
 from statistics import median
@@ -122,7 +122,7 @@
 
 
 def _band_name(band: int) -> str:
-    """Return a band of load as its bounds, e.g. ``<0.33``."""
+    """Return the label of a load band from its bound, e.g. ``<0.33``."""
     if band == len(LOAD_BOUNDS):
         return f">={LOAD_BOUNDS[-1]:.2f}"
     return f"<{LOAD_BOUNDS[band]:.2f}"
--- a/src/corkcrank/reports/sent_back.py
+++ b/src/corkcrank/reports/sent_back.py
@@ -1,11 +1,12 @@
-"""How callers fared that were refused and told when to come back.
-
-A caller that comes back has another call id, so its two calls cannot be joined by id. They
-are matched by route, tenant, time and the moment until which the caller waits: a caller that
-comes back at the time told arrives within a tolerance of the refusal's time plus the time
-told, and still waits until the same moment. Nearest in time come first, and each call is
-matched once, as a return and as a refusal. Calls whose callers told no deadline cannot be
-matched, and a refusal whose time told is unknown is not considered; both are counted.
+"""Reports what happened to callers that were refused and asked to retry after a delay.
+
+A retry has another call id, so the refused call and its retry cannot be joined by id. They
+are matched by route, tenant, arrival time and the time until which the caller waits. A caller
+that retries on schedule arrives within a tolerance of the refusal's time plus the retry delay,
+and still waits until the same time. Pairs nearest to the scheduled time are matched first, and
+each call is matched at most once as a retry and once as a refusal. Calls whose callers sent no
+deadline cannot be matched, and a refusal whose retry delay is unknown is not considered; both
+are counted.
 """
 
 from bisect import bisect_left
@@ -19,16 +20,16 @@
 from corkcrank.reports.held import LATE_LOSSES
 
 EARLY_SECONDS = 0.05
-"""How much before the time told a caller may arrive: clocks of machines differ."""
+"""Tolerance before the scheduled retry time: clocks of machines differ."""
 
 LATE_SECONDS = 0.2
-"""How much after the time told a caller may arrive: it needs a connection first."""
+"""Tolerance after the scheduled retry time: the caller needs a connection first."""
 
 CALLER_END_SECONDS = 0.05
-"""How far the ends of one caller's two calls may lie apart: their ways here differ."""
+"""Tolerance between the deadlines of a call and its retry: their network delays differ."""
 
 LOAD_BOUNDS = (1 / 3, 2 / 3)
-"""Upper bounds of all bands of load but the last: shares of calls refused."""
+"""Upper bounds of all load bands but the last, as shares of calls refused."""
 
 REFUSED_LOSSES = frozenset(
     (
@@ -40,11 +41,11 @@
         Loss.STAGE_STOPPING,
     )
 )
-"""Calls that were refused for want of capacity or by a stop: no worker has run them."""
+"""Losses of calls refused for lack of capacity or by a stop: no worker has run them."""
 
 
 class Fate(StrEnum):
-    """What became of a call whose caller had come back."""
+    """The outcome of a retry."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -54,10 +55,10 @@
 
 @dataclass(slots=True)
 class SentBack:
-    """Calls refused for one cause, at one band of load, whose callers were told a time.
+    """Calls refused with a retry delay, for one cause and at one load band.
 
-    ``returns`` counts the callers that came back at that time, by what became of them, and
-    ``sooner`` those that came back before it. ``band`` numbers the bands of ``LOAD_BOUNDS``.
+    ``returns`` counts the retries at the scheduled time by their outcome, and ``sooner`` the
+    retries before it. ``band`` is the index of the band in ``LOAD_BOUNDS``.
     """
 
     cause: Loss
@@ -69,10 +70,10 @@
 
 @dataclass(slots=True)
 class SentBackReport:
-    """How callers fared that were sent back, and what could not be matched.
+    """Outcomes of retries after a refusal, and the calls that could not be matched.
 
-    ``unmatched`` counts calls of returning callers that fit no refusal, out of
-    ``returning`` such calls; ``untold`` counts refusals without a known time.
+    ``unmatched`` counts the retries that match no refusal, out of ``returning`` retries;
+    ``untold`` counts refusals without a known retry delay.
     """
 
     groups: list[SentBack]
@@ -83,16 +84,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pair:
-    """A refusal and a call that may be its caller's next, by their places in the log."""
+    """A refusal and a call that may be its retry, by their indices in the list of calls."""
 
     distance: float
     refusal: int
     arrival: int
 
 
-def fate_of(story: CallStory) -> Fate:
-    """Return what became of a call."""
-    loss = story.loss
+def fate_of(summary: CallStory) -> Fate:
+    """Return the outcome of a call."""
+    loss = summary.loss
     if loss is Loss.NONE:
         return Fate.IN_TIME
     if loss in LATE_LOSSES:
@@ -101,7 +102,7 @@
 
 
 def load_band(share: float) -> int:
-    """Return the number of the band that a share of refused calls lies in.
+    """Return the index of the load band that contains a share of refused calls.
 
     >>> load_band(0.0), load_band(0.5), load_band(1.0)
     (0, 1, 2)
@@ -109,75 +110,79 @@
     return sum(share >= bound for bound in LOAD_BOUNDS)
 
 
-def sent_back(stories: Sequence[CallStory]) -> SentBackReport:
-    """Return how callers fared that were told when to come back."""
-    refusals = [place for place, story in enumerate(stories) if _was_sent_back(story)]
-    told, sooner = _match(stories, refusals)
-    matched = set(told.values()) | set(sooner.values())
-    returning = [place for place, story in enumerate(stories) if story.returning]
+def sent_back(summaries: Sequence[CallStory]) -> SentBackReport:
+    """Return the report on callers that were refused with a retry delay."""
+    refusals = [index for index, summary in enumerate(summaries) if _was_sent_back(summary)]
+    scheduled, early = _match(summaries, refusals)
+    matched = set(scheduled.values()) | set(early.values())
+    returning = [index for index, summary in enumerate(summaries) if summary.returning]
     return SentBackReport(
-        _groups(stories, refusals, told, sooner),
+        _groups(summaries, refusals, scheduled, early),
         returning=len(returning),
-        unmatched=sum(place not in matched for place in returning),
-        untold=sum(story.loss in REFUSED_LOSSES and story.retry_after is None for story in stories),
+        unmatched=sum(index not in matched for index in returning),
+        untold=sum(
+            summary.loss in REFUSED_LOSSES and summary.retry_after is None for summary in summaries
+        ),
     )
 
 
-def _was_sent_back(story: CallStory) -> bool:
-    return story.retry_after is not None and not story.outcome.isdigit()
+def _was_sent_back(summary: CallStory) -> bool:
+    return summary.retry_after is not None and not summary.outcome.isdigit()
 
 
 def _groups(
-    stories: Sequence[CallStory],
+    summaries: Sequence[CallStory],
     refusals: Sequence[int],
-    told: dict[int, int],
-    sooner: dict[int, int],
+    scheduled: dict[int, int],
+    early: dict[int, int],
 ) -> list[SentBack]:
-    shares = _refused_shares(stories)
+    shares = _refused_shares(summaries)
     groups: dict[tuple[Loss, int], SentBack] = {}
-    for place in refusals:
-        story = stories[place]
-        key = (story.loss, load_band(shares[floor(story.began_at)]))
+    for index in refusals:
+        summary = summaries[index]
+        key = (summary.loss, load_band(shares[floor(summary.began_at)]))
         group = groups.setdefault(key, SentBack(*key))
         group.refused += 1
-        if place in told:
-            group.returns[fate_of(stories[told[place]])] += 1
-        elif place in sooner:
-            group.sooner[fate_of(stories[sooner[place]])] += 1
+        if index in scheduled:
+            group.returns[fate_of(summaries[scheduled[index]])] += 1
+        elif index in early:
+            group.sooner[fate_of(summaries[early[index]])] += 1
     causes = list(Loss)
     return sorted(groups.values(), key=lambda item: (causes.index(item.cause), item.band))
 
 
-def _refused_shares(stories: Sequence[CallStory]) -> dict[int, float]:
-    """Return the share of the calls that arrived in each second that was refused."""
+def _refused_shares(summaries: Sequence[CallStory]) -> dict[int, float]:
+    """Return, for each second, the share of the calls arriving in it that were refused."""
     calls: Counter[int] = Counter()
     refused: Counter[int] = Counter()
-    for story in stories:
-        second = floor(story.began_at)
+    for summary in summaries:
+        second = floor(summary.began_at)
         calls[second] += 1
-        refused[second] += story.loss in REFUSED_LOSSES
+        refused[second] += summary.loss in REFUSED_LOSSES
     return {second: refused[second] / calls[second] for second in calls}
 
 
 def _match(
-    stories: Sequence[CallStory], refusals: Sequence[int]
+    summaries: Sequence[CallStory], refusals: Sequence[int]
 ) -> tuple[dict[int, int], dict[int, int]]:
-    """Return the return of each refusal: at the time told, and, of the others, sooner."""
-    arrivals = _Arrivals(stories)
-    told_pairs: list[_Pair] = []
-    sooner_pairs: list[_Pair] = []
-    for place in refusals:
-        story = stories[place]
-        due_at = story.ended_at + (story.retry_after or 0.0)
-        for pair in arrivals.near(place, story.ended_at - EARLY_SECONDS, due_at + LATE_SECONDS):
-            at_time_told = stories[pair.arrival].began_at >= due_at - EARLY_SECONDS
-            (told_pairs if at_time_told else sooner_pairs).append(pair)
-    told = _nearest_first(told_pairs, set(), set())
-    sooner = _nearest_first(sooner_pairs, set(told), set(told.values()))
-    return told, sooner
-
-
-def _nearest_first(
+    """Return the retry of each refusal: on schedule, and, for the other refusals, earlier."""
+    arrivals = _Arrivals(summaries)
+    scheduled_pairs: list[_Pair] = []
+    early_pairs: list[_Pair] = []
+    for index in refusals:
+        summary = summaries[index]
+        scheduled_at = summary.ended_at + (summary.retry_after or 0.0)
+        for pair in arrivals.candidates_for(
+            index, summary.ended_at - EARLY_SECONDS, scheduled_at + LATE_SECONDS
+        ):
+            on_schedule = summaries[pair.arrival].began_at >= scheduled_at - EARLY_SECONDS
+            (scheduled_pairs if on_schedule else early_pairs).append(pair)
+    scheduled = _match_nearest(scheduled_pairs, set(), set())
+    early = _match_nearest(early_pairs, set(scheduled), set(scheduled.values()))
+    return scheduled, early
+
+
+def _match_nearest(
     pairs: list[_Pair], used_refusals: set[int], used_arrivals: set[int]
 ) -> dict[int, int]:
     matched: dict[int, int] = {}
@@ -191,28 +196,28 @@
 
 
 class _Arrivals:
-    """Calls by route and tenant, in order of arrival."""
+    """Index of calls by route and tenant, in order of arrival."""
 
-    def __init__(self, stories: Sequence[CallStory]) -> None:
-        self._stories = stories
-        self._places: dict[tuple[str, str], list[int]] = defaultdict(list)
-        for place in sorted(range(len(stories)), key=lambda item: stories[item].began_at):
-            self._places[self._key(stories[place])].append(place)
+    def __init__(self, summaries: Sequence[CallStory]) -> None:
+        self._summaries = summaries
+        self._indices: dict[tuple[str, str], list[int]] = defaultdict(list)
+        for index in sorted(range(len(summaries)), key=lambda item: summaries[item].began_at):
+            self._indices[self._key(summaries[index])].append(index)
 
     @staticmethod
-    def _key(story: CallStory) -> tuple[str, str]:
-        return story.route, story.tenant
-
-    def near(self, refusal: int, since: float, until: float) -> Iterator[_Pair]:
-        """Return the calls of a time that may be of a refusal's caller."""
-        story = self._stories[refusal]
-        places = self._places[self._key(story)]
-        due_at = story.ended_at + (story.retry_after or 0.0)
-        first = bisect_left(places, since, key=lambda place: self._stories[place].began_at)
-        for place in places[first:]:
-            other = self._stories[place]
+    def _key(summary: CallStory) -> tuple[str, str]:
+        return summary.route, summary.tenant
+
+    def candidates_for(self, refusal: int, since: float, until: float) -> Iterator[_Pair]:
+        """Yield the calls between two times that may be retries of a refusal."""
+        summary = self._summaries[refusal]
+        indices = self._indices[self._key(summary)]
+        scheduled_at = summary.ended_at + (summary.retry_after or 0.0)
+        first = bisect_left(indices, since, key=lambda index: self._summaries[index].began_at)
+        for index in indices[first:]:
+            other = self._summaries[index]
             if other.began_at > until:
                 return
-            same_end = abs(other.caller_end_at - story.caller_end_at) <= CALLER_END_SECONDS
-            if place != refusal and same_end:
-                yield _Pair(abs(other.began_at - due_at), refusal, place)
+            same_end = abs(other.caller_end_at - summary.caller_end_at) <= CALLER_END_SECONDS
+            if index != refusal and same_end:
+                yield _Pair(abs(other.began_at - scheduled_at), refusal, index)
--- a/src/corkcrank/reports/stage_work.py
+++ b/src/corkcrank/reports/stage_work.py
@@ -1,4 +1,4 @@
-"""What the time of stage workers went to, from the batches that nodes logged."""
+"""Reports how stage workers spent their time, from the batches in the nodes' logs."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,8 +11,8 @@
 class WorkerTime:
     """Sums over the batches of one stage worker; times are in seconds.
 
-    ``fixed`` is the part of ``busy`` that a batch takes whatever it holds, ``starved`` the
-    time between two batches while pieces waited for the worker.
+    ``fixed`` is the part of ``busy`` that does not depend on the size of a batch. ``starved``
+    is the time between two batches while pieces waited for the worker.
     """
 
     worker: str
@@ -31,7 +31,7 @@
 
     @property
     def busy_share(self) -> float:
-        """Return the part of the time seen that the worker was at work."""
+        """Return the share of the observed time in which the worker ran batches."""
         return self.busy / max(1e-9, self.last_at - self.first_at)
 
     @property
@@ -40,7 +40,7 @@
         return self.pieces / max(1, self.batches)
 
     def add(self, record: LogRecord) -> None:
-        """Take one batch."""
+        """Add the record of one batch to the sums."""
         ended_at, seconds = time_of(record), float(record["seconds"])
         began_at = ended_at - seconds
         if self._waiting and self.batches:
@@ -63,20 +63,20 @@
 
 
 def _count(outcome: str, name: str) -> int:
-    """Return how many pieces of a batch ended in one way.
+    """Return how many pieces of a batch had the outcome ``name``.
 
     >>> _count("2 done, 3 no-room", "no-room"), _count("no answer in time", "no-room")
     (3, 0)
     """
     for part in outcome.split(", "):
-        number, _, told = part.partition(" ")
-        if told == name and number.isdigit():
+        number, _, outcome_name = part.partition(" ")
+        if outcome_name == name and number.isdigit():
             return int(number)
     return 0
 
 
 def worker_times(records: Iterable[LogRecord]) -> list[WorkerTime]:
-    """Return every stage worker's time, by service; ``records`` are in order of time."""
+    """Return the time of each stage worker, by service; ``records`` must be sorted by time."""
     workers: dict[str, WorkerTime] = {}
     for record in records:
         if record["event"] == LogEvent.BATCH_ENDED:
--- a/src/corkcrank/reports/stops.py
+++ b/src/corkcrank/reports/stops.py
@@ -1,4 +1,4 @@
-"""What planned stops met: the calls read around them, and how each of them ended."""
+"""Reports the calls in progress or read around planned stops, and how each call ended."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -12,7 +12,7 @@
 
 
 class Read(StrEnum):
-    """When a call was read that a stop met."""
+    """When the gateway read a call, relative to the stop signal."""
 
     BEFORE = "before the signal"
     EARLY = f"up to {BALANCER_LAG_SECONDS} s after it"
@@ -20,7 +20,7 @@
 
 
 class End(StrEnum):
-    """How a call ended that a stop met."""
+    """How a call ended that was affected by a stop."""
 
     FINISHED = "worker's answer"
     REFUSED = "refused, not run"
@@ -41,12 +41,12 @@
     calls: Counter[tuple[Read, End]] = field(default_factory=Counter)
 
     def of(self, read: Read, end: End) -> int:
-        """Return the number of calls of one kind."""
+        """Return the number of calls that were read at ``read`` and ended in ``end``."""
         return self.calls[read, end]
 
 
 def report_stops(records: Iterable[LogRecord]) -> StopReport:
-    """Return what the stops of these lines met.
+    """Return the report on the stops in these log records.
 
     >>> ended = {"event": "Call: ended.", "outcome": "DRAINING", "after_signal": 3.1}
     >>> report = report_stops([{"event": "Process: stopping."}, ended])
@@ -87,7 +87,7 @@
 
 
 def _end_of_code(name: str) -> End:
-    """Return the end of a call that a gateway answered with a code of its own."""
+    """Return the end of a call that the gateway itself answered with a result code."""
     code = ResultCode.__members__.get(name)
-    promised = code is not None and code.http_status in (408, 421, 429, 503)
-    return End.REFUSED if promised else End.FAILED
+    not_executed = code is not None and code.http_status in (408, 421, 429, 503)
+    return End.REFUSED if not_executed else End.FAILED
--- a/src/corkcrank/standins/engine.py
+++ b/src/corkcrank/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine."""
+"""HTTP stand-in for a model engine, with a batch, a prefix cache and injected faults."""
 
 import asyncio
 
@@ -11,21 +11,21 @@
 from corkcrank.standins.faults import FaultSwitch, cut_connection, json_response
 
 REPORT_LAG_SECONDS = 0.3
-"""Time between refreshes of the load report."""
+"""Interval between updates of the load report."""
 
 LOAD_MODEL_SECONDS = 0.2
 """Time to load one model when no weight store is named."""
 
 
 class OrderRecord(msgspec.Struct, frozen=True):
-    """One order that took effect."""
+    """A model order that the engine has applied."""
 
     fence: int
     models: tuple[str, ...]
 
 
 class EngineRecord(msgspec.Struct, frozen=True):
-    """What an engine did, for checkers."""
+    """History of an engine, for the invariant checker."""
 
     attempts: tuple[str, ...]
     refused: int
@@ -36,14 +36,14 @@
 
 
 class CacheBlocks(msgspec.Struct, frozen=True):
-    """Cache blocks, for events, export and import; ``sequence`` counts changes."""
+    """Cache blocks in events, exports and imports; ``sequence`` counts changes."""
 
     sequence: int
     blocks: tuple[int, ...]
 
 
 class EngineStandin:
-    """One engine with a batch, a prefix cache, a lagged report and fenced orders."""
+    """An engine with a batch, a prefix cache, a delayed load report and fenced orders."""
 
     def __init__(
         self,
@@ -130,9 +130,9 @@
 
     async def _handle_cache_events(self, request: web.Request) -> web.Response:
         blocks = self.batch.cache.blocks()
-        # Events are published with gaps: every seventh block is never told.
-        told = tuple(block for number, block in enumerate(blocks) if number % 7 != 6)
-        return json_response(CacheBlocks(self.batch.cache.misses, told))
+        # Events are published with gaps: every seventh block is never reported.
+        reported = tuple(block for number, block in enumerate(blocks) if number % 7 != 6)
+        return json_response(CacheBlocks(self.batch.cache.misses, reported))
 
     async def _handle_export(self, request: web.Request) -> web.Response:
         return json_response(CacheBlocks(self.batch.cache.misses, self.batch.cache.blocks()))
--- a/src/corkcrank/standins/engine_batch.py
+++ b/src/corkcrank/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""The batch of a model engine: which sequences run, and how long each step takes."""
+"""Simulates the batch of a model engine: the running sequences and the time of each step."""
 
 import asyncio
 from collections import OrderedDict
@@ -10,13 +10,13 @@
 from corkcrank.standins import outputs
 
 STEP_SECONDS = 0.012
-"""Time of one decoding step of an empty batch."""
+"""Base time of one decoding step, without any sequence."""
 
 STEP_SECONDS_PER_SEQUENCE = 0.0008
 """Time that each running sequence adds to a step."""
 
 PREFILL_SECONDS_PER_BYTE = 0.00002
-"""Time to read each prompt byte that is not in the prefix cache."""
+"""Time to prefill each prompt byte that is not in the prefix cache."""
 
 CACHE_BLOCK_BYTES = 64
 """Prompt bytes in one block of the prefix cache."""
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """One call in the engine."""
+    """One call in the engine, waiting or running."""
 
     call: GenerateCall
     prompt_hash: int
@@ -35,7 +35,7 @@
 
 
 class PrefixCache:
-    """Least recently used prompt blocks, salted by tenant."""
+    """A cache of prompt blocks, salted by tenant, with least-recently-used eviction."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._capacity = capacity_blocks
@@ -44,28 +44,28 @@
         self.misses = 0
 
     def missing_bytes(self, salt: str, prompt: str) -> int:
-        """Return the bytes to prefill, and keep the prompt's blocks."""
+        """Return the number of bytes to prefill, and add the prompt's blocks to the cache."""
         missing = 0
         known = True
         for end in range(CACHE_BLOCK_BYTES, len(prompt) + 1, CACHE_BLOCK_BYTES):
             block = xxhash.xxh3_64_intdigest(f"{salt}\x00{prompt[:end]}".encode())
             known = known and block in self._blocks
             missing += 0 if known else CACHE_BLOCK_BYTES
-            self._keep(block)
+            self._insert(block)
         self.hits += missing == 0
         self.misses += missing > 0
         return missing
 
     def blocks(self) -> tuple[int, ...]:
-        """Return the blocks held, oldest first."""
+        """Return the cached blocks, least recently used first."""
         return tuple(self._blocks)
 
     def put(self, blocks: tuple[int, ...]) -> None:
-        """Keep imported blocks."""
+        """Add imported blocks to the cache."""
         for block in blocks:
-            self._keep(block)
+            self._insert(block)
 
-    def _keep(self, block: int) -> None:
+    def _insert(self, block: int) -> None:
         self._blocks[block] = None
         self._blocks.move_to_end(block)
         while len(self._blocks) > self._capacity:
@@ -92,13 +92,13 @@
         return sequence
 
     def cancel(self, attempt: str) -> None:
-        """Drop a sequence at the next step."""
+        """Cancel a sequence; it is removed at the next step."""
         for sequence in (*self.running, *self.waiting):
             if sequence.call.attempt == attempt:
                 sequence.cancelled = True
 
     async def run(self) -> None:
-        """Step for ever."""
+        """Run decoding steps until the task is cancelled."""
         while True:
             if not self.running and not self.waiting:
                 self._wake.clear()
--- a/src/corkcrank/standins/faults.py
+++ b/src/corkcrank/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that every stand-in can show, switched on over HTTP."""
+"""Fault injection for the stand-ins, controlled over HTTP."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from aiohttp import web
 
 FIRST_BOOT = "1"
-"""Incarnation that a stand-in reports, and that the list names, until a test restarts it."""
+"""Incarnation in a stand-in's reports and in the machine list until a test restarts it."""
 
 
 class Faults(msgspec.Struct):
-    """The faults in force at one stand-in.
+    """The active faults of one stand-in.
 
     Attributes
     ----------
@@ -21,9 +21,9 @@
     slow_factor
         Multiply the time of all work.
     lose_answers
-        Do the work, then cut the connection; counts down, -1 loses all.
+        Do the work, then close the connection; counts down, -1 loses all answers.
     cut_after_tokens
-        Cut each stream after this many tokens; -1 cuts none.
+        Close each stream after this many tokens; -1 closes none.
     duplicate_chunks
         Send each token twice.
     crossed
@@ -31,7 +31,7 @@
     foreign_passages
         Return another tenant's passages.
     leaving
-        Report as leaving and refuse new work.
+        Report the state ``leaving`` and refuse new work.
     boot
         Report this incarnation, as after a restart.
 
@@ -49,7 +49,7 @@
     boot: str = FIRST_BOOT
 
     def take_lost_answer(self) -> bool:
-        """Return whether this answer shall be lost."""
+        """Return whether to drop this answer, and count it down."""
         if self.lose_answers == 0:
             return False
         if self.lose_answers > 0:
@@ -58,13 +58,13 @@
 
 
 class FaultSwitch:
-    """Serves ``POST /faults``, whose body replaces the faults in force."""
+    """Serves ``POST /faults``, whose body replaces the active faults."""
 
     def __init__(self) -> None:
         self.faults = Faults()
 
     async def handle(self, request: web.Request) -> web.Response:
-        """Replace the faults in force."""
+        """Replace the active faults by those in the request body."""
         try:
             self.faults = msgspec.json.decode(await request.read(), type=Faults)
         except msgspec.DecodeError as error:
@@ -72,7 +72,7 @@
         return web.Response(text="ok")
 
     async def before_work(self) -> web.Response | None:
-        """Apply the faults that come before any work."""
+        """Apply the faults that act before any work; returns an error response on an outage."""
         if self.faults.delay_seconds > 0:
             await asyncio.sleep(self.faults.delay_seconds)
         if self.faults.outage:
@@ -81,13 +81,13 @@
 
 
 def cut_connection(request: web.Request) -> None:
-    """Close the caller's connection without an answer."""
+    """Abort the caller's connection without a response."""
     if request.transport is not None:
         request.transport.abort()
 
 
 def json_response(body: msgspec.Struct, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return web.Response(
         status=status, body=msgspec.json.encode(body), content_type="application/json"
     )
--- a/src/corkcrank/standins/machine_list.py
+++ b/src/corkcrank/standins/machine_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of live and leaving machines."""
+"""HTTP stand-in for the platform's delayed list of live and leaving machines."""
 
 import asyncio
 
@@ -11,21 +11,21 @@
 
 
 class ListChange(msgspec.Struct, frozen=True):
-    """A change to the true list: entries to add or replace, workers to remove."""
+    """A change to the current list: entries to add or replace, and workers to remove."""
 
     put: tuple[WorkerEntry, ...] = ()
     remove: tuple[WorkerId, ...] = ()
 
 
 class MachineListStandin:
-    """Shows each change only after a lag."""
+    """A machine list that publishes each change after a delay."""
 
     def __init__(self, workers: tuple[WorkerEntry, ...], lag_seconds: float) -> None:
         self.switch = FaultSwitch()
         self._lag = lag_seconds
-        self._truth = {worker.worker: worker for worker in workers}
+        self._current = {worker.worker: worker for worker in workers}
         self._version = 1
-        self._shown = MachineList(1, workers)
+        self._published = MachineList(1, workers)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def application(self) -> web.Application:
@@ -44,27 +44,27 @@
         refused = await self.switch.before_work()
         if refused is not None:
             return refused
-        tag = f'"{self._shown.version}"'
+        tag = f'"{self._published.version}"'
         if request.headers.get("If-None-Match") == tag:
             return web.Response(status=304)
-        response = json_response(self._shown)
+        response = json_response(self._published)
         response.headers["ETag"] = tag
         return response
 
     async def _handle_change(self, request: web.Request) -> web.Response:
         change = msgspec.json.decode(await request.read(), type=ListChange)
         for entry in change.put:
-            self._truth[entry.worker] = entry
+            self._current[entry.worker] = entry
         for worker in change.remove:
-            self._truth.pop(worker, None)
+            self._current.pop(worker, None)
         self._version += 1
-        snapshot = MachineList(self._version, tuple(self._truth.values()))
-        task = asyncio.create_task(self._show_later(snapshot))
+        snapshot = MachineList(self._version, tuple(self._current.values()))
+        task = asyncio.create_task(self._publish_later(snapshot))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return web.Response(text="ok")
 
-    async def _show_later(self, snapshot: MachineList) -> None:
+    async def _publish_later(self, snapshot: MachineList) -> None:
         await asyncio.sleep(self._lag)
-        if snapshot.version > self._shown.version:
-            self._shown = snapshot
+        if snapshot.version > self._published.version:
+            self._published = snapshot
--- a/src/corkcrank/standins/outputs.py
+++ b/src/corkcrank/standins/outputs.py
@@ -1,4 +1,4 @@
-"""What the stand-ins answer: pure functions, so that a caller can recompute each answer."""
+"""Computes the stand-ins' answers by pure functions, so a caller can recompute each one."""
 
 import xxhash
 
@@ -6,10 +6,10 @@
 from corkcrank.contracts.messages import Passage
 
 RETRIEVED_PASSAGES = 4
-"""Passages found for each query."""
+"""Number of passages returned for each query."""
 
 RERANKED_PASSAGES = 2
-"""Passages kept by the reranker."""
+"""Number of passages that the reranker keeps."""
 
 
 def encode_text(text: str) -> str:
--- a/src/corkcrank/standins/plain.py
+++ b/src/corkcrank/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service that records every run."""
+"""HTTP stand-in for a worker of a plain service; records every run."""
 
 import time
 
@@ -23,7 +23,7 @@
 
 
 class Runs(msgspec.Struct, frozen=True):
-    """Every run at one worker."""
+    """All runs at one worker."""
 
     runs: tuple[Run, ...]
 
--- a/src/corkcrank/standins/pool.py
+++ b/src/corkcrank/standins/pool.py
@@ -1,4 +1,4 @@
-"""Stand-in of an encoder, retriever or reranker."""
+"""HTTP stand-in for a stage worker: an encoder, retriever or reranker."""
 
 import msgspec
 from aiohttp import web
--- a/src/corkcrank/standins/queueing.py
+++ b/src/corkcrank/standins/queueing.py
@@ -1,4 +1,4 @@
-"""A back end's queue: a bounded number of calls at once, better tiers first."""
+"""Queue of a back end: runs a bounded number of calls at once, lower ranks first."""
 
 import asyncio
 import heapq
@@ -16,28 +16,28 @@
 
     @property
     def waiting(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of waiting calls."""
         return sum(not entry[2].done() for entry in self._waiting)
 
     async def enter(self, rank: int) -> None:
-        """Wait for a slot and take it."""
+        """Wait for a free slot and occupy it."""
         if self.running < self.slots:
             self.running += 1
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (rank, next(self._order), turn))
+        granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._waiting, (rank, next(self._order), granted))
         try:
-            await turn
+            await granted
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if granted.done() and not granted.cancelled():
                 self.leave()
             raise
 
     def leave(self) -> None:
-        """Give the slot to the next waiting call."""
+        """Release a slot; the next waiting call gets it."""
         while self._waiting:
-            turn = heapq.heappop(self._waiting)[2]
-            if not turn.done():
-                turn.set_result(None)
+            granted = heapq.heappop(self._waiting)[2]
+            if not granted.done():
+                granted.set_result(None)
                 return
         self.running -= 1
--- a/src/corkcrank/standins/slotted_worker.py
+++ b/src/corkcrank/standins/slotted_worker.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of plain services and of stage pools share: slots, faults, load."""
+"""Base class of the stand-ins for plain and stage workers: slots, faults, load report."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class SlottedWorker:
-    """A worker with ``slots`` calls at once, each of which takes ``service_seconds``."""
+    """A worker that runs up to ``slots`` calls at once, ``service_seconds`` each."""
 
     def __init__(self, worker: WorkerId, slots: int, service_seconds: float) -> None:
         self.switch = FaultSwitch()
@@ -32,7 +32,7 @@
         )
 
     async def _work(self, rank: int) -> float:
-        """Wait for a slot, hold it for a call's time, and return that time in seconds."""
+        """Wait for a slot, occupy it for one call, and return the call's time in seconds."""
         await self._semaphore.enter(rank)
         try:
             seconds = self._service_seconds * self.switch.faults.slow_factor
--- a/src/corkcrank/standins/stores.py
+++ b/src/corkcrank/standins/stores.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's object store and of the rate-limited weight store."""
+"""HTTP stand-ins for the platform's object store and the rate-limited weight store."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from corkcrank.standins.faults import FaultSwitch
 
 WEIGHT_SECONDS = 0.2
-"""Time to hand out the weights of one model."""
+"""Time to serve the weights of one model."""
 
 
 class ObjectStoreStandin:
-    """Keeps objects in memory."""
+    """An object store that keeps objects in memory."""
 
     def __init__(self) -> None:
         self.switch = FaultSwitch()
@@ -45,7 +45,7 @@
 
 
 class WeightStoreStandin:
-    """Hands out model weights, few at a time."""
+    """A weight store that serves a limited number of requests at once."""
 
     def __init__(self, concurrent: int = 2) -> None:
         self.switch = FaultSwitch()
--- a/src/corkcrank/standins/table.py
+++ b/src/corkcrank/standins/table.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's transactional table."""
+"""HTTP stand-in for the platform's transactional table."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 class TableCounters(msgspec.Struct):
-    """Work done since the start."""
+    """Counters of operations since the start."""
 
     reads: int = 0
     rows_read: int = 0
@@ -33,14 +33,14 @@
 
 
 class _RateLimit:
-    """Allows a number of operations in each second."""
+    """Allows a fixed number of operations in each second of the clock."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
         self._second = 0
         self._used = 0
 
-    def take(self, amount: int) -> bool:
+    def try_acquire(self, amount: int) -> bool:
         second = int(clock.now())
         if second != self._second:
             self._second, self._used = second, 0
@@ -49,7 +49,7 @@
 
 
 class TableStandin:
-    """Keeps rows in memory; compare-and-set over several rows."""
+    """An in-memory table with compare-and-set over several rows."""
 
     def __init__(self, writes_per_second: int, reads_per_second: int) -> None:
         self.switch = FaultSwitch()
@@ -80,7 +80,7 @@
         if refused is not None:
             return refused
         body = msgspec.json.decode(await request.read(), type=ReadRequest)
-        if not self._reads.take(len(body.keys)):
+        if not self._reads.try_acquire(len(body.keys)):
             self.counters.refused += 1
             return web.Response(status=429)
         await asyncio.sleep(READ_SECONDS * self.switch.faults.slow_factor)
@@ -93,7 +93,7 @@
         if refused is not None:
             return refused
         body = msgspec.json.decode(await request.read(), type=CommitRequest)
-        if not self._writes.take(1):
+        if not self._writes.try_acquire(1):
             self.counters.refused += 1
             return web.Response(status=429)
         await asyncio.sleep(COMMIT_SECONDS * self.switch.faults.slow_factor)
--- a/tests/platform/test_held_calls.py
+++ b/tests/platform/test_held_calls.py
@@ -1,4 +1,4 @@
-"""``corkcrank losses``: how long calls were held that were not served, and who came back."""
+"""Tests ``corkcrank losses``: how long calls waited that were not served, and retries."""
 
 import json
 from collections import deque
@@ -19,11 +19,11 @@
 from corkcrank.reports.held import held_calls
 
 BEGAN = 1000.0
-"""Time of day of the first call of each log, in seconds."""
+"""Wall-clock time of the first call of each log, in seconds."""
 
 
 def ended(outcome: str, held: float, at: float = 0.0, **fields: Any) -> dict[str, Any]:
-    """Return the line of a call that came ``at`` seconds after ``BEGAN``."""
+    """Return the log line of a call that arrived ``at`` seconds after ``BEGAN``."""
     return {
         "event": LogEvent.CALL_ENDED.value,
         "time": BEGAN + at + held,
@@ -73,7 +73,7 @@
     assert totals == {Loss.FORECAST: 3, Loss.DEADLINE: 2, Loss.STAGE_WAIT: 1}
 
 
-def test_time_held_is_told_as_a_share_of_each_calls_objective() -> None:
+def test_time_held_is_reported_as_a_share_of_each_calls_objective() -> None:
     totals = {group.cause: group for group in held_calls(stories_of(HELD)).totals}
     assert totals[Loss.FORECAST].median_share == 0.01
     assert totals[Loss.FORECAST].high_share == 0.2
@@ -96,7 +96,7 @@
         ("STAGE_FAILED", "stage 1 was not made", Loss.STAGE_LOST),
     ],
 )
-def test_refusals_after_a_wait_for_stages_are_told_apart(
+def test_refusals_after_a_wait_for_stages_have_distinct_causes(
     outcome: str, detail: str, loss: Loss
 ) -> None:
     (story,) = stories_of([ended(outcome, 2.6, detail=detail)])
@@ -117,7 +117,7 @@
     return [" ".join(line.split()) for line in done.output.splitlines()]
 
 
-def test_command_prints_who_was_held(tmp_path: Path) -> None:
+def test_command_prints_held_calls(tmp_path: Path) -> None:
     lines = printed(tmp_path, HELD)
     assert "calls <0.02 <0.1 <0.5 <1 <2 longer median 95%" in lines
     assert "deadline or timeout passed 2 0 0 0 0 1 1 1.975 3.000" in lines
--- a/tests/platform/test_losses.py
+++ b/tests/platform/test_losses.py
@@ -1,4 +1,4 @@
-"""``corkcrank losses``: a recorded log of a real node says where its calls were lost."""
+"""Tests ``corkcrank losses`` on the log of a real node: each lost call has its cause."""
 
 import asyncio
 import re
@@ -19,12 +19,12 @@
 from corkcrank.reports.losses import LossReport, make_report
 
 ENGINE_SECONDS = 0.5
-"""Time of a slow engine: long beside all that a gateway does with a call."""
+"""Time of a slow engine, much longer than the gateway's own work on a call."""
 
 STAGES = [{"service": "encode", "since_revision": [], "byte_length": 1000}]
 SLOW_STAGES = [{"service": "archive", "since_revision": [], "byte_length": 1000}]
 SLOW_CALL_MS = 10_000.0
-"""A call at a stage worker that takes longer than any caller waits."""
+"""Time of a call at a slow stage worker, longer than any caller waits."""
 
 ROUTES = [
     route("once", "unsafe", "plain"),
@@ -36,7 +36,7 @@
 
 
 async def record(folder: Path) -> Path:
-    """Have a real node serve, refuse, delay and lose calls; return its log."""
+    """Make a real node serve, refuse, delay and lose calls, and return its log."""
     model = StandinWorker(events=3, gap=0.01)
     served = {
         "plain": (StandinWorker(faults=deque(["reset"])), "plain"),
@@ -58,7 +58,7 @@
 
 
 async def slow_engine(running: World, model: StandinWorker) -> None:
-    """Make a call whose engine takes far longer than all else."""
+    """Send a call for which the engine takes far longer than all other steps."""
     model.hold = asyncio.Event()
     before = len(model.seen)
     call = asyncio.create_task(running.call("/tardy/x"))
@@ -84,7 +84,7 @@
     assert causes["staged"] == {Loss.NONE: 1}
 
 
-async def test_steps_windows_workers_and_returning_callers_are_told(tmp_path: Path) -> None:
+async def test_report_has_steps_windows_workers_and_returning_callers(tmp_path: Path) -> None:
     report = await report_of(tmp_path)
     routes = {item.route: item for item in report.routes}
     assert set(routes["staged"].waits) == set(Step)
@@ -95,7 +95,7 @@
     assert worker.busy > 0
 
 
-async def test_time_told_to_come_back_is_in_the_line_of_the_end(tmp_path: Path) -> None:
+async def test_retry_delay_is_in_the_log_line_of_the_call_end(tmp_path: Path) -> None:
     records = read_all([await record(tmp_path)])
     ended = [item for item in records if item["event"] == LogEvent.CALL_ENDED]
     told = {item["call"]: item["retry_after"] for item in ended}
@@ -105,7 +105,9 @@
     assert [item["retry_after"] for item in ended if item["route"] == "talk"] == [None]
 
 
-async def test_line_of_the_refusal_tells_it_in_logs_without_that_field(tmp_path: Path) -> None:
+async def test_retry_delay_is_read_from_the_refusal_line_in_logs_without_that_field(
+    tmp_path: Path,
+) -> None:
     records = read_all([await record(tmp_path)])
     without = [
         {name: value for name, value in item.items() if name != "retry_after"}
@@ -128,7 +130,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "no log\n", '{"event": 1'])
-def test_files_without_calls_are_told_so(tmp_path: Path, text: str) -> None:
+def test_files_without_calls_are_reported(tmp_path: Path, text: str) -> None:
     empty = tmp_path / "empty.log"
     empty.write_text(text)
     done = CliRunner().invoke(application, ["losses", str(empty)])
--- a/tests/platform/test_operations_page.py
+++ b/tests/platform/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The operators' page: its commands, run over a real node's log, lead from an id to a cause."""
+"""Runs the commands of the operators' page on a real node's log, from a call id to a cause."""
 
 import asyncio
 import os
--- a/tests/platform/test_release_times.py
+++ b/tests/platform/test_release_times.py
@@ -1,4 +1,4 @@
-"""How long work goes on for a caller that left, by the step of its call: metric, log, report."""
+"""Tests how long work continues after a caller left, by step, in metric, log and report."""
 
 import asyncio
 import json
@@ -39,11 +39,11 @@
 ]
 PIECES = {"X-Corkcrank-Segments": "1", "X-Corkcrank-Segment-Key": "k"}
 STAGE_SECONDS = 0.3
-"""Time for which a stage worker is at work after the close."""
+"""Time for which a stage worker continues after the caller closed its connection."""
 
 
 async def leave_at(running: World, served: Served, step: str) -> None:
-    """Send a call and close its connection once it is at a step."""
+    """Send a call and close its connection when the call has reached a step."""
     path = {"plain": "/safe/x", "queued": "/staged/x", "stages": "/staged/x"}.get(step, "/talk/x")
     async with caller_of(running) as caller:
         seen = requests_seen(served)
@@ -60,7 +60,7 @@
 
 
 async def leave_everywhere(running: World, served: Served) -> None:
-    """Have one caller leave at each step; stage workers go on for ``STAGE_SECONDS``."""
+    """Make one caller leave at each step; stage workers continue for ``STAGE_SECONDS``."""
     encode, model = served["e"][0], served["m"][0]
     assert isinstance(encode, StandinStageWorker)
     assert isinstance(model, StandinWorker)
@@ -102,7 +102,7 @@
     return registry.get_sample_value(f"corkcrank_release_seconds_{what}", {"step": step})
 
 
-async def test_the_metric_tells_the_time_to_the_last_release_by_step(tmp_path: Path) -> None:
+async def test_metric_has_the_time_to_the_last_release_by_step(tmp_path: Path) -> None:
     _, running = await record(tmp_path)
     for step in ("unread", "plain", "queued", "engine", "relay"):
         assert released(running, step, "count") == 1, step
@@ -111,7 +111,9 @@
     assert released(running, "stages", "sum") >= STAGE_SECONDS  # type: ignore[operator]
 
 
-async def test_the_line_of_a_calls_end_names_the_step_that_was_left(tmp_path: Path) -> None:
+async def test_log_line_of_the_call_end_names_the_step_at_which_the_caller_left(
+    tmp_path: Path,
+) -> None:
     path, _ = await record(tmp_path)
     ended = [line for line in lines_of(path) if line["event"] == "Call: ended."]
     assert [(line["outcome"], line["step"]) for line in ended] == [
@@ -121,7 +123,7 @@
     assert batch["given_up"] == {ended[0]["call"]: pytest.approx(STAGE_SECONDS, abs=0.2)}
 
 
-async def test_losses_tell_the_work_done_for_nobody(tmp_path: Path) -> None:
+async def test_losses_report_the_wasted_work(tmp_path: Path) -> None:
     path, _ = await record(tmp_path)
     by_step = {work.step: work for work in work_for_nobody(read_all([path]))}
     assert {step: work.calls for step, work in by_step.items()} == {
@@ -142,7 +144,7 @@
     assert f"2  stages: stage workers {stages.stage_seconds:.2f} s" in done.output
 
 
-async def test_a_served_call_is_no_work_for_nobody(tmp_path: Path) -> None:
+async def test_served_call_is_not_wasted_work(tmp_path: Path) -> None:
     served = workers()
     served["p"] = (StandinWorker(), "plain")
     async with world(configuration(1, ROUTES), served) as running:
--- a/tests/platform/test_sent_back.py
+++ b/tests/platform/test_sent_back.py
@@ -1,4 +1,4 @@
-"""``corkcrank losses``: whether callers that came back at the time told were served."""
+"""Tests ``corkcrank losses``: the outcome of retries after a refusal with a retry delay."""
 
 from pathlib import Path
 
@@ -10,25 +10,25 @@
 
 # In the first second 3 of 4 calls are refused, in the second 1 of 2, in the third 1 of 4.
 LINES = [
-    # Came back at the time told, 0.03 s after it, and was served in time.
+    # Retried on schedule, 0.03 s after the scheduled time, and was served in time.
     ended("CAPACITY_SHORT", 0.0, 0.1, left=10.0, retry_after=1.0),
     ended("200", 0.5, 1.13, left=8.47, returning=True),
-    # Came back at the time told and was refused again: the caller's third call was late.
+    # Retried on schedule and was refused again: the caller's third call was late.
     ended("DRAINING", 0.0, 0.2, left=15.0, retry_after=1.5),
     ended("DRAINING", 0.0, 1.75, left=13.45, retry_after=0.4, returning=True),
     ended("200", 2.5, 2.17, left=10.53, returning=True),
-    # Came back at once, and was served in time.
+    # Retried immediately and was served in time.
     ended("CAPACITY_SHORT", 0.0, 0.3, left=20.0, retry_after=2.0),
     ended("200", 0.5, 0.31, left=19.49),
-    # Never came back. At the time told comes another caller, who waits for longer.
+    # Did not retry. Another caller, who waits longer, arrives at the scheduled time.
     ended("CAPACITY_SHORT", 0.0, 2.4, left=5.0, retry_after=0.5),
     ended("200", 0.5, 2.93, left=9.5, returning=True),
-    # A refusal without a time, and the deadline of a caller of another tenant.
+    # A refusal without a retry delay, and the deadline of a caller of another tenant.
     ended("DEADLINE_EXCEEDED", 0.9, 2.92, left=3.6, tenant="taipei", returning=True),
 ]
 
 
-def test_returns_are_told_by_cause_load_and_what_became_of_them() -> None:
+def test_retries_are_counted_by_cause_load_and_outcome() -> None:
     report = sent_back(stories_of(LINES))
     groups = {(group.cause, group.band): group for group in report.groups}
     assert {key: group.refused for key, group in groups.items()} == {
@@ -44,7 +44,7 @@
     assert groups[Loss.FORECAST, 0].returns.total() == 0
 
 
-def test_what_cannot_be_matched_is_counted() -> None:
+def test_calls_without_a_match_are_counted() -> None:
     report = sent_back(stories_of([*LINES, ended("NO_BACKEND", 0.0, 9.0)]))
     assert (report.returning, report.unmatched, report.untold) == (5, 2, 1)
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     ("arrives", "found"), [(1.94, 0), (1.96, 1), (2.0, 1), (2.19, 1), (2.21, 0)]
 )
-def test_a_return_arrives_near_the_time_told(arrives: float, found: int) -> None:
+def test_retry_is_matched_near_its_scheduled_time(arrives: float, found: int) -> None:
     refusal = ended("CAPACITY_SHORT", 0.0, 1.0, left=10.0, retry_after=1.0)
     back = ended("STAGE_FAILED", 0.5, arrives, left=11.0 - arrives - 0.5)
     (group,) = sent_back(stories_of([refusal, back])).groups
@@ -60,7 +60,7 @@
     assert group.returns[Fate.FAILED] == found
 
 
-def test_the_nearest_return_is_taken_and_each_only_once() -> None:
+def test_nearest_retry_is_matched_and_each_only_once() -> None:
     refusals = [
         ended("CAPACITY_SHORT", 0.0, 1.0, left=10.0, retry_after=1.0),
         ended("CAPACITY_SHORT", 0.0, 1.02, left=10.0, retry_after=1.0),
@@ -76,7 +76,7 @@
     return dict(group.returns)
 
 
-def test_command_prints_who_was_sent_back(tmp_path: Path) -> None:
+def test_command_prints_refused_callers(tmp_path: Path) -> None:
     lines = printed(tmp_path, LINES)
     assert "refused: forecast <0.33 1 0 0 0 0 0 - 0 (0)" in lines
     assert "refused: forecast >=0.67 2 1 1 0 0 0 1.00 1 (1)" in lines
