--- a/src/corkcrank/cli/controller_client.py
+++ b/src/corkcrank/cli/controller_client.py
@@ -25,7 +25,7 @@
 
     address: str
 
-    def draw(self, intent: Intent) -> Result[PlanView, FailureView]:
+    def create_plan(self, intent: Intent) -> Result[PlanView, FailureView]:
         """Create a plan from an intent."""
         return self._run("POST", "/operator/plans", msgspec.json.encode(intent), PlanView)
 
--- a/src/corkcrank/cli/explain.py
+++ b/src/corkcrank/cli/explain.py
@@ -8,7 +8,7 @@
 
 from corkcrank.reports.log_records import LogRecord, read_all, time_of
 
-UNSHOWN = frozenset(("event", "time", "process", "call", "calls"))
+COLUMN_FIELDS = frozenset(("event", "time", "process", "call", "calls"))
 """Fields that the columns of the line already show."""
 
 
@@ -28,7 +28,7 @@
 def _format(record: LogRecord, first: float) -> str:
     seconds = time_of(record) - first
     fields = " ".join(
-        f"{name}={_text(value)}" for name, value in record.items() if name not in UNSHOWN
+        f"{name}={_text(value)}" for name, value in record.items() if name not in COLUMN_FIELDS
     )
     return f"{seconds:8.3f} s  {record.get('process', '?')}  {record['event']} {fields}".rstrip()
 
--- a/src/corkcrank/cli/operator.py
+++ b/src/corkcrank/cli/operator.py
@@ -51,7 +51,7 @@
     Example: corkcrank plan replace configuration.toml -c 10.0.0.1:9000
     """
     configuration = _read_toml(file, Configuration, version=0)
-    _draw(ReplaceConfiguration(configuration), controller, as_json)
+    _create_plan(ReplaceConfiguration(configuration), controller, as_json)
 
 
 @plan_application.command("pipeline")
@@ -60,7 +60,7 @@
 
     Example: corkcrank plan pipeline review.toml -c 10.0.0.1:9000
     """
-    _draw(PutPipeline(_read_toml(file, Pipeline)), controller, as_json)
+    _create_plan(PutPipeline(_read_toml(file, Pipeline)), controller, as_json)
 
 
 @plan_application.command("tier")
@@ -71,7 +71,7 @@
 
     Example: corkcrank plan tier neihu-tax filing -c 10.0.0.1:9000
     """
-    _draw(SetTenantTier(TenantName(tenant), tier), controller, as_json)
+    _create_plan(SetTenantTier(TenantName(tenant), tier), controller, as_json)
 
 
 @plan_application.command("quota")
@@ -87,7 +87,7 @@
     Example: corkcrank plan quota neihu-tax 80 100 -c 10.0.0.1:9000
     """
     intent = SetTenantQuota(TenantName(tenant), requests_per_second, burst)
-    _draw(intent, controller, as_json)
+    _create_plan(intent, controller, as_json)
 
 
 @plan_application.command("drain")
@@ -101,7 +101,7 @@
 
     Example: corkcrank plan drain tax-llm-3 -c 10.0.0.1:9000
     """
-    _draw(DrainWorker(WorkerId(worker), drained=not undo), controller, as_json)
+    _create_plan(DrainWorker(WorkerId(worker), drained=not undo), controller, as_json)
 
 
 @plan_application.command("place")
@@ -115,7 +115,7 @@
 
     Example: corkcrank plan place tax-llm-3 tax-8b tax-70b -c 10.0.0.1:9000
     """
-    _draw(PlaceModels(WorkerId(worker), tuple(models)), controller, as_json)
+    _create_plan(PlaceModels(WorkerId(worker), tuple(models)), controller, as_json)
 
 
 @application.command()
@@ -242,8 +242,8 @@
     return FailureView(code.number, code.name, detail)
 
 
-def _draw(intent: Intent, controller: str, as_json: bool) -> None:
-    result = ControllerClient(controller).draw(intent)
+def _create_plan(intent: Intent, controller: str, as_json: bool) -> None:
+    result = ControllerClient(controller).create_plan(intent)
     if result.is_error():
         _fail(result.error, as_json)
     if as_json:
--- a/src/corkcrank/controller/planning.py
+++ b/src/corkcrank/controller/planning.py
@@ -32,10 +32,10 @@
 from corkcrank.links.table import Committed, Condition, Row, Table, Unanswered, Write
 from corkcrank.machines.member import head_version
 
-SETTLE_SECONDS = 5.0
+MAX_CONFIRM_RETRY_SECONDS = 5.0
 """Maximum time spent on retrying a confirm whose answer was lost."""
 
-SETTLE_PAUSE_SECONDS = 0.2
+CONFIRM_RETRY_PAUSE_SECONDS = 0.2
 """Pause between retries of a confirm."""
 
 
@@ -51,16 +51,16 @@
     def __init__(self, table: Table) -> None:
         self._table = table
 
-    async def draw(self, intent: Intent) -> Result[PlanView, Failure]:
+    async def create_plan(self, intent: Intent) -> Result[PlanView, Failure]:
         """Create a plan from the committed version and store it in the table."""
         head = await self._read_head()
         if head is None:
             return Error(_table_unavailable())
-        return await self._draw_from(head, intent)
+        return await self._create_plan_from(head, intent)
 
     async def confirm(self, plan_id: str) -> Result[ConfirmAnswer, Failure]:
         """Apply a plan if the version it is based on is still the committed one."""
-        retry_until = clock.now() + SETTLE_SECONDS
+        retry_until = clock.now() + MAX_CONFIRM_RETRY_SECONDS
         sent = False
         while True:
             outcome = await self._try_confirm(plan_id)
@@ -70,7 +70,7 @@
             if clock.now() >= retry_until:
                 code = ResultCode.CONFIRM_UNKNOWN if sent else ResultCode.TABLE_UNAVAILABLE
                 return Error(Failure(code, outcome.reason, retry_after=1.0))
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(CONFIRM_RETRY_PAUSE_SECONDS)
 
     async def _try_confirm(self, plan_id: str) -> Result[ConfirmAnswer, Failure] | Unanswered:
         plan_key = table_keys.plan_key(plan_id)
@@ -126,12 +126,12 @@
         head = await self._read_head()
         if head is None:
             return Unanswered("read")
-        fresh = await self._draw_from(head, plan.intent)
+        fresh = await self._create_plan_from(head, plan.intent)
         if fresh.is_error():
             return Error(fresh.error)
         return Ok(_answer(ResultCode.PLAN_STALE, head.configuration.version, fresh.ok))
 
-    async def _draw_from(self, head: _Head, intent: Intent) -> Result[PlanView, Failure]:
+    async def _create_plan_from(self, head: _Head, intent: Intent) -> Result[PlanView, Failure]:
         applied = apply_intent(head.configuration, intent)
         if applied.is_error():
             return Error(applied.error)
--- a/src/corkcrank/controller/program.py
+++ b/src/corkcrank/controller/program.py
@@ -9,7 +9,7 @@
 from corkcrank.contracts.process_life import ProcessLife, ProcessTrigger
 from corkcrank.contracts.settings import Settings
 from corkcrank.controller.planning import Planner
-from corkcrank.controller.routes import MAXIMUM_INTENT_BYTES, OperatorRoutes
+from corkcrank.controller.routes import MAX_INTENT_BYTES, OperatorRoutes
 from corkcrank.controller.zone_holder import ZoneHolder
 from corkcrank.links.logs import ComponentLog, configure_logs
 from corkcrank.machines.daemon import (
@@ -73,9 +73,9 @@
 
     async def start(self) -> None:
         """Start serving peers and operators, and start the loops that manage the zone."""
-        application = web.Application(client_max_size=MAXIMUM_INTENT_BYTES)
+        application = web.Application(client_max_size=MAX_INTENT_BYTES)
         PeerRoutes(
-            self.agent, self.dump, self.holder.hear_heartbeat, self._links.traffic
+            self.agent, self.dump, self.holder.apply_heartbeat, self._links.traffic
         ).register_routes(application)
         OperatorRoutes(self.planner, self.holder, self.agent).add_to(application)
         self._runner = await serve_application(application, self._settings.process.peer_address)
--- a/src/corkcrank/controller/routes.py
+++ b/src/corkcrank/controller/routes.py
@@ -14,7 +14,7 @@
 
 _BodyT = TypeVar("_BodyT", bound=msgspec.Struct)
 
-MAXIMUM_INTENT_BYTES = 1 << 22
+MAX_INTENT_BYTES = 1 << 22
 """Maximum size of an intent; a whole configuration of the planned size is about 150 kB."""
 
 
@@ -64,19 +64,19 @@
         """Add the routes to an application."""
         application.add_routes(
             [
-                web.post("/operator/plans", self._draw),
+                web.post("/operator/plans", self._create_plan),
                 web.post("/operator/plans/{plan_id}/confirm", self._confirm),
                 web.get("/operator/status", self._status),
                 web.get("/peer/summary/{known}", self._summary),
             ]
         )
 
-    async def _draw(self, request: web.Request) -> web.Response:
+    async def _create_plan(self, request: web.Request) -> web.Response:
         try:
             intent = msgspec.json.decode(await request.read(), type=Intent)
         except msgspec.DecodeError as error:
             return _failure(Failure(ResultCode.INTENT_INVALID, str(error)))
-        return _respond(await self._planner.draw(intent))
+        return _respond(await self._planner.create_plan(intent))
 
     async def _confirm(self, request: web.Request) -> web.Response:
         result = await self._planner.confirm(request.match_info["plan_id"])
--- a/src/corkcrank/controller/zone_holder.py
+++ b/src/corkcrank/controller/zone_holder.py
@@ -33,7 +33,7 @@
 TICK_SECONDS = 1.0
 """Interval between digests and between lease renewals."""
 
-SUMMARY_TICKS = 2
+TICKS_PER_SUMMARY_READ = 2
 """Number of digests between two reads of other zones' summaries."""
 
 
@@ -73,7 +73,7 @@
         """Return the loads that this controller polled, for the next heartbeat."""
         return self._local_reports
 
-    def hear_heartbeat(self, data: bytes) -> HeartbeatReply:
+    def apply_heartbeat(self, data: bytes) -> HeartbeatReply:
         """Apply a member's heartbeat and return the reply."""
         heartbeat = decode_heartbeat(data)
         if heartbeat.zone == self.zone:
@@ -120,7 +120,7 @@
         await self._advance_lease()
         if self.publishes:
             await self._read_machine_list()
-            if self._ticks % SUMMARY_TICKS == 0:
+            if self._ticks % TICKS_PER_SUMMARY_READ == 0:
                 await self._pull_summaries()
             self._publish()
             await self._send_orders()
--- a/src/corkcrank/gateway/admission.py
+++ b/src/corkcrank/gateway/admission.py
@@ -9,16 +9,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-SMOOTHING = 0.1
+TIME_SMOOTHING = 0.1
 """Weight of the newest sample in an exponential moving average."""
 
-OPTIMISM = 1.25
+FORECAST_TOLERANCE = 1.25
 """Factor by which a forecast may exceed the budget: a delayed queue length is mostly too high."""
 
 RANK_MARGIN = 0.1
 """Share of the budget deducted for each rank below the best while there is a queue."""
 
-MAXIMUM_MARGIN = 0.3
+MAX_MARGIN = 0.3
 """Maximum share of the budget deducted as margin."""
 
 
@@ -31,19 +31,19 @@
     """
 
     service_seconds: float
-    least_pressure: float
+    min_pressure: float
     queue_seconds: float
 
 
-class StageTimes:
+class ServiceTimeEstimate:
     """Moving average of the time of one call without contention, for a stage or service."""
 
     def __init__(self, expected_seconds: float) -> None:
         self.seconds = expected_seconds
 
-    def record(self, seconds: float) -> None:
+    def observe_seconds(self, seconds: float) -> None:
         """Update the average with one measured service time."""
-        self.seconds += SMOOTHING * (seconds - self.seconds)
+        self.seconds += TIME_SMOOTHING * (seconds - self.seconds)
 
 
 def predict_seconds(stages: Sequence[StageForecast]) -> float:
@@ -57,7 +57,7 @@
 
 def queue_ahead(stage: StageForecast) -> float:
     """Return the work queued before a new call, in multiples of the service time."""
-    return max(0.0, stage.least_pressure - 1.0)
+    return max(0.0, stage.min_pressure - 1.0)
 
 
 def seconds_until_feasible(
@@ -75,10 +75,10 @@
         Rank of the tenant's tier; zero is served first.
 
     """
-    margin = min(MAXIMUM_MARGIN, RANK_MARGIN * rank)
+    margin = min(MAX_MARGIN, RANK_MARGIN * rank)
     congested = any(queue_ahead(stage) > 0.0 for stage in stages)
     budget = remaining_seconds
     if congested:
-        budget *= OPTIMISM * (1.0 - margin)
+        budget *= FORECAST_TOLERANCE * (1.0 - margin)
     excess = predict_seconds(stages) - budget
     return max(0.0, excess)
--- a/src/corkcrank/gateway/answer_checks.py
+++ b/src/corkcrank/gateway/answer_checks.py
@@ -3,7 +3,7 @@
 from corkcrank.contracts.messages import PlainAnswer, PlainCall, StageAnswer, StageCall
 
 
-def answers_stage(call: StageCall, answer: StageAnswer) -> bool:
+def matches_stage_call(call: StageCall, answer: StageAnswer) -> bool:
     """Return whether ``answer`` matches ``call`` and contains only its tenant's passages."""
     echoed = (
         answer.request == call.request
@@ -14,7 +14,7 @@
     return echoed and all(passage.tenant == call.tenant for passage in answer.passages)
 
 
-def answers_plain(call: PlainCall, answer: PlainAnswer) -> bool:
+def matches_plain_call(call: PlainCall, answer: PlainAnswer) -> bool:
     """Return whether ``answer`` matches ``call``."""
     return (
         answer.request == call.request
--- a/src/corkcrank/gateway/decode_pace.py
+++ b/src/corkcrank/gateway/decode_pace.py
@@ -1,6 +1,6 @@
 """Decoding speed of one stream: predicts whether it can meet its deadline."""
 
-HASTE = 0.5
+MIN_DECODE_TIME_SHARE = 0.5
 """Minimum decoding time of a stream, as a share of the usual decoding time."""
 
 
@@ -30,9 +30,9 @@
         1.75
         """
         left = max(0, self._max_tokens - offset) / self._max_tokens
-        return remaining_seconds - HASTE * self._usual_seconds * left
+        return remaining_seconds - MIN_DECODE_TIME_SHARE * self._usual_seconds * left
 
-    def note_token(self, now: float) -> None:
+    def record_token(self, now: float) -> None:
         """Record the arrival time of a token."""
         if self._first_at is None:
             self._first_at = now
--- a/src/corkcrank/gateway/dispatch.py
+++ b/src/corkcrank/gateway/dispatch.py
@@ -33,11 +33,11 @@
         self._drained = drained
         self._budgets: dict[str, RetryBudget] = {}
 
-    def budget(self, service: str) -> RetryBudget:
+    def retry_budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
         return self._budgets.setdefault(service, RetryBudget(self._retry_share))
 
-    def choose(
+    def choose_worker(
         self, service: str, tried: Collection[WorkerId], affinity: str, model: str = ""
     ) -> WorkerId | None:
         """Return a back end outside ``tried``, or one of ``tried`` if there is no other."""
@@ -50,13 +50,13 @@
             return None
         return self._policy.choose(candidates, affinity).worker
 
-    def least_pressure(self, service: str, model: str) -> float | None:
+    def min_pressure(self, service: str, model: str) -> float | None:
         """Return the lowest load per slot among a service's back ends, ``None`` without any."""
         candidates = self.view.candidates(service, self._clock(), model, self._drained())
         return min((candidate.pressure for candidate in candidates), default=None)
 
     @contextmanager
-    def sending(self, worker: WorkerId) -> Iterator[Address]:
+    def count_in_flight(self, worker: WorkerId) -> Iterator[Address]:
         """Count a call to ``worker`` while it is in flight, and yield the worker's address."""
         started = self._clock()
         self.view.record_call_start(worker, started)
--- a/src/corkcrank/gateway/pipeline_handler.py
+++ b/src/corkcrank/gateway/pipeline_handler.py
@@ -10,9 +10,9 @@
 from corkcrank.contracts.settings import Settings
 from corkcrank.gateway import metrics
 from corkcrank.gateway.access_control import AccessControl, Caller, Served
-from corkcrank.gateway.admission import StageForecast, StageTimes, seconds_until_feasible
+from corkcrank.gateway.admission import StageForecast, ServiceTimeEstimate, seconds_until_feasible
 from corkcrank.gateway.dispatch import Dispatcher
-from corkcrank.gateway.pipeline_run import PipelineRun, StageGivenUpError, stage_key
+from corkcrank.gateway.pipeline_run import PipelineRun, StageAbandonedError, stage_key
 from corkcrank.gateway.request_reader import (
     read_body,
     read_deadline_seconds,
@@ -33,7 +33,7 @@
         self._dispatcher = dispatcher
         self._limits = settings.limits
         self._policies = settings.policies
-        self._times: dict[str, StageTimes] = {}
+        self._times: dict[str, ServiceTimeEstimate] = {}
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Answer one pipeline request."""
@@ -50,7 +50,7 @@
         run.sink = stream.write_token
         try:
             await run.run()
-        except StageGivenUpError as error:
+        except StageAbandonedError as error:
             _charge_waste(run)
             return Served(await stream.fail(error.failure), error.failure.code)
         metrics.TOKENS.inc(run.tokens)
@@ -89,7 +89,7 @@
             max_tokens=body.max_tokens or pipeline.max_tokens,
             deadline=deadline,
             sink=_discard_token,
-            gives_up_early=self._policies.admission,
+            abandons_early=self._policies.admission,
         )
 
     def _check_feasible(self, run: PipelineRun, seconds: float) -> Failure | None:
@@ -97,7 +97,7 @@
         for stage in run.pipeline.stages:
             usual = self._stage_times(stage_key(run.pipeline, stage), stage.expected_seconds)
             queue = self._stage_times(stage.service, stage.expected_seconds)
-            pressure = self._dispatcher.least_pressure(stage.service, stage.model)
+            pressure = self._dispatcher.min_pressure(stage.service, stage.model)
             if pressure is None:
                 return Failure(ResultCode.NO_BACKEND, stage.service, retry_after=1.0)
             # Only the time of a generating stage depends on the number of tokens.
@@ -108,8 +108,8 @@
         wait = seconds_until_feasible(forecasts, seconds, run.rank)
         return Failure(ResultCode.DEADLINE_UNREACHABLE, retry_after=wait) if wait > 0 else None
 
-    def _stage_times(self, key: str, expected_seconds: float) -> StageTimes:
-        return self._times.setdefault(key, StageTimes(expected_seconds))
+    def _stage_times(self, key: str, expected_seconds: float) -> ServiceTimeEstimate:
+        return self._times.setdefault(key, ServiceTimeEstimate(expected_seconds))
 
 
 def _refuse(request: web.Request, identifier: RequestId, failure: Failure) -> web.StreamResponse:
--- a/src/corkcrank/gateway/pipeline_run.py
+++ b/src/corkcrank/gateway/pipeline_run.py
@@ -22,17 +22,17 @@
 from corkcrank.contracts.messages import GenerateCall, Passage, StageAnswer, StageCall, TokenChunk
 from corkcrank.contracts.result_codes import Failure
 from corkcrank.gateway import metrics
-from corkcrank.gateway.admission import StageTimes
-from corkcrank.gateway.answer_checks import answers_stage
+from corkcrank.gateway.admission import ServiceTimeEstimate
+from corkcrank.gateway.answer_checks import matches_stage_call
 from corkcrank.gateway.decode_pace import DecodePace
 from corkcrank.gateway.dispatch import Dispatcher
 from corkcrank.gateway.stage_process import (
     AttemptAnswered,
-    AttemptBroken,
+    AttemptFailed,
     AttemptNotSent,
     AttemptTooLate,
     FinishStage,
-    GiveUpStage,
+    AbandonStage,
     IgnoreEvent,
     SendAttempt,
     StageEvent,
@@ -43,13 +43,13 @@
 from corkcrank.links.back_ends import BackEndError, NotSent
 from corkcrank.machines.routing import PREFIX_BYTES
 
-MINIMUM_ATTEMPT_SECONDS = 0.5
+MIN_ATTEMPT_TIMEOUT_SECONDS = 0.5
 """Minimum timeout of one attempt."""
 
-ATTEMPT_PATIENCE = 6.0
+ATTEMPT_TIMEOUT_FACTOR = 6.0
 """Timeout of an attempt, as a multiple of the stage's usual time."""
 
-TOKEN_PATIENCE_SECONDS = 1.0
+MAX_TOKEN_GAP_SECONDS = 1.0
 """Maximum pause of a stream before it is resumed at another back end."""
 
 TokenSink = Callable[[int, str], Awaitable[None]]
@@ -60,7 +60,7 @@
     """Raised when a stream can no longer meet its deadline."""
 
 
-class StageGivenUpError(Exception):
+class StageAbandonedError(Exception):
     """Raised when a stage is abandoned; contains the request's failure."""
 
     def __init__(self, failure: Failure) -> None:
@@ -81,12 +81,12 @@
     pipeline: Pipeline
     index: ConfigurationIndex
     dispatcher: Dispatcher
-    times: dict[str, StageTimes]
+    times: dict[str, ServiceTimeEstimate]
     text: str
     max_tokens: int
     deadline: float
     sink: TokenSink
-    gives_up_early: bool = True
+    abandons_early: bool = True
     passages: tuple[Passage, ...] = ()
     answer: str = ""
     tokens: int = 0
@@ -109,17 +109,17 @@
 
     def _process(self, stage: Stage, affinity: str) -> StageProcess:
         def choose(tried: frozenset[WorkerId]) -> WorkerId | None:
-            return self.dispatcher.choose(stage.service, tried, affinity, stage.model)
+            return self.dispatcher.choose_worker(stage.service, tried, affinity, stage.model)
 
         return StageProcess(
             choose=choose,
             new_attempt=new_attempt_id,
-            budget=self.dispatcher.budget(stage.service),
+            budget=self.dispatcher.retry_budget(stage.service),
             deadline=self.deadline,
             work_started=self.work_started,
         )
 
-    async def _drive(
+    async def _run_attempts(
         self,
         stage: Stage,
         process: StageProcess,
@@ -137,13 +137,13 @@
                     self._record_outcome(event, instruction.worker)
                 case FinishStage():
                     return
-                case GiveUpStage(failure=failure):
-                    raise StageGivenUpError(failure)
+                case AbandonStage(failure=failure):
+                    raise StageAbandonedError(failure)
                 case IgnoreEvent():
                     raise AssertionError("an attempt that was never sent has ended")
 
     def _record_outcome(self, event: StageEvent, worker: WorkerId) -> None:
-        if isinstance(event, AttemptBroken | AttemptNotSent):
+        if isinstance(event, AttemptFailed | AttemptNotSent):
             self.dispatcher.view.mark_suspect(worker, clock.now())
 
     async def _call_pool(self, number: int, stage: Stage, service: Service) -> None:
@@ -152,7 +152,7 @@
         async def attempt(send: SendAttempt) -> StageEvent:
             return await self._attempt_pool(number, stage, service, send)
 
-        await self._drive(stage, process, attempt)
+        await self._run_attempts(stage, process, attempt)
 
     async def _attempt_pool(
         self, number: int, stage: Stage, service: Service, send: SendAttempt
@@ -166,17 +166,17 @@
             passages=self.passages,
             rank=self.rank,
         )
-        with self.dispatcher.sending(send.worker) as address:
+        with self.dispatcher.count_in_flight(send.worker) as address:
             outcome = await self.dispatcher.back_ends.call_stage(
-                address, call, self._attempt_seconds(stage)
+                address, call, self._attempt_timeout_seconds(stage)
             )
         if isinstance(outcome, NotSent):
             return AttemptNotSent(send.attempt)
         if not isinstance(outcome, StageAnswer):
-            return AttemptBroken(send.attempt)
-        if not answers_stage(call, outcome):
+            return AttemptFailed(send.attempt)
+        if not matches_stage_call(call, outcome):
             metrics.DROPPED_ANSWERS.labels(stage.service).inc()
-            return AttemptBroken(send.attempt)
+            return AttemptFailed(send.attempt)
         self._apply_pool_answer(stage, service, outcome)
         return AttemptAnswered(send.attempt)
 
@@ -184,13 +184,13 @@
         self.text = answer.text
         self.passages = answer.passages
         self._charge(stage, service, answer.busy_seconds)
-        self.times[stage_key(self.pipeline, stage)].record(answer.busy_seconds)
-        self.times[stage.service].record(answer.busy_seconds)
+        self.times[stage_key(self.pipeline, stage)].observe_seconds(answer.busy_seconds)
+        self.times[stage.service].observe_seconds(answer.busy_seconds)
 
-    def _attempt_seconds(self, stage: Stage) -> float:
+    def _attempt_timeout_seconds(self, stage: Stage) -> float:
         patience = max(
-            MINIMUM_ATTEMPT_SECONDS,
-            ATTEMPT_PATIENCE * self.times[stage_key(self.pipeline, stage)].seconds,
+            MIN_ATTEMPT_TIMEOUT_SECONDS,
+            ATTEMPT_TIMEOUT_FACTOR * self.times[stage_key(self.pipeline, stage)].seconds,
         )
         return max(0.001, min(patience, self.deadline - clock.now()))
 
@@ -219,7 +219,7 @@
             )
             return await self._attempt_stream(stage, service, call, send, assembler)
 
-        await self._drive(stage, process, attempt)
+        await self._run_attempts(stage, process, attempt)
         self.answer = "".join(assembler.tokens)
         self.tokens = assembler.offset
 
@@ -233,7 +233,7 @@
     ) -> StageEvent:
         assembler.begin(send.attempt)
         first_offset = assembler.offset
-        with self.dispatcher.sending(send.worker) as address:
+        with self.dispatcher.count_in_flight(send.worker) as address:
             try:
                 await self._read_stream(stage, service, call, address, assembler)
             except TooLateError:
@@ -242,11 +242,11 @@
             except BackEndError as error:
                 if not error.sent and assembler.offset == first_offset:
                     return AttemptNotSent(send.attempt)
-                return AttemptBroken(send.attempt)
+                return AttemptFailed(send.attempt)
             except (TimeoutError, StreamGapError):
                 metrics.DROPPED_ANSWERS.labels(stage.service).inc()
                 await self.dispatcher.back_ends.cancel_attempt(address, send.attempt)
-                return AttemptBroken(send.attempt)
+                return AttemptFailed(send.attempt)
             except (asyncio.CancelledError, ConnectionError):
                 # The caller disconnected: free the engine's slot first. The disconnect
                 # appears as a cancellation, or as an error if a token is written before that.
@@ -267,15 +267,15 @@
         remaining = max(0.001, self.deadline - clock.now())
         times = self.times[stage_key(self.pipeline, stage)]
         scale = self.max_tokens / self.pipeline.max_tokens
-        usual = times.seconds * scale if self.gives_up_early else 0.0
+        usual = times.seconds * scale if self.abandons_early else 0.0
         pace = DecodePace(usual, self.max_tokens)
         chunks = self.dispatcher.back_ends.generate(address, call, remaining)
         async with aclosing(chunks):
             last = await self._forward_chunks(chunks, call, assembler, pace)
         self._charge(stage, service, last.busy_seconds)
         if pace.measured_seconds is not None:
-            times.record(pace.measured_seconds / scale)
-            self.times[stage.service].record(pace.measured_seconds)
+            times.observe_seconds(pace.measured_seconds / scale)
+            self.times[stage.service].observe_seconds(pace.measured_seconds)
 
     async def _forward_chunks(
         self,
@@ -290,7 +290,7 @@
             if slack <= 0.0:
                 raise TooLateError
             begun = assembler.offset > call.offset
-            patience = min(slack, TOKEN_PATIENCE_SECONDS) if begun else slack
+            patience = min(slack, MAX_TOKEN_GAP_SECONDS) if begun else slack
             try:
                 chunk = await asyncio.wait_for(chunks.__anext__(), patience)
             except StopAsyncIteration:
@@ -300,7 +300,7 @@
                     raise
                 raise TooLateError from None
             if assembler.accept(chunk):
-                pace.note_token(clock.now())
+                pace.record_token(clock.now())
                 await self.sink(chunk.index, chunk.token)
             if assembler.complete:
                 return chunk
--- a/src/corkcrank/gateway/plain_handler.py
+++ b/src/corkcrank/gateway/plain_handler.py
@@ -28,7 +28,7 @@
 DEFAULT_DEADLINE_SECONDS = 10.0
 """Default deadline of a plain call."""
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Maximum number of attempts of a repeatable plain call."""
 
 
@@ -91,10 +91,10 @@
         return Served(failure_response(call.request, Failure(reply.code), reply.ran), reply.code)
 
     async def _serve_repeatable(self, call: PlainRequest) -> Served:
-        budget = self._dispatcher.budget(call.service.name)
+        budget = self._dispatcher.retry_budget(call.service.name)
         budget.record_first_attempt()
         sent = False
-        for _ in range(MAXIMUM_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             remaining = call.deadline - clock.now()
             if remaining <= 0:
                 break
--- a/src/corkcrank/gateway/plain_run.py
+++ b/src/corkcrank/gateway/plain_run.py
@@ -26,7 +26,7 @@
 from corkcrank.contracts.messages import PlainAnswer, PlainCall
 from corkcrank.contracts.result_codes import Ran, ResultCode
 from corkcrank.gateway import metrics
-from corkcrank.gateway.answer_checks import answers_plain
+from corkcrank.gateway.answer_checks import matches_plain_call
 from corkcrank.gateway.claim_store import ClaimStore
 from corkcrank.gateway.dispatch import Dispatcher
 from corkcrank.links.back_ends import PLAIN_RESULT_TIMEOUT_SECONDS, NotSent, PossiblySent
@@ -66,13 +66,13 @@
         """Run until the claim is finished; sets :attr:`reply` as soon as it is known."""
         alarm = asyncio.create_task(self._watch_deadline())
         try:
-            await self._drive()
+            await self._run_instructions()
         finally:
             alarm.cancel()
             if not self.reply.done():
                 self.reply.set_result(Reply(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN))
 
-    async def _drive(self) -> None:
+    async def _run_instructions(self) -> None:
         instructions = self._process.handle_event(ClaimStarted(), clock.now())
         while True:
             event = await self._execute(instructions)
@@ -134,16 +134,16 @@
 ) -> PlainAnswer | NotSent | PossiblySent:
     """Send one call to a chosen back end and check its answer."""
     service = request.service.name
-    worker = dispatcher.choose(service, frozenset(), affinity="")
+    worker = dispatcher.choose_worker(service, frozenset(), affinity="")
     if worker is None:
         return NotSent("no live back end")
     call = PlainCall(
         request.request, attempt, request.tenant, request.operation, request.key, request.body
     )
-    with dispatcher.sending(worker) as address:
+    with dispatcher.count_in_flight(worker) as address:
         outcome = await dispatcher.back_ends.call_plain(address, call, timeout, fresh)
     if isinstance(outcome, PlainAnswer):
-        if not answers_plain(call, outcome):
+        if not matches_plain_call(call, outcome):
             metrics.DROPPED_ANSWERS.labels(service).inc()
             return PossiblySent("the answer belongs to another call")
         cost = outcome.busy_seconds * request.service.cost_per_second
--- a/src/corkcrank/gateway/program.py
+++ b/src/corkcrank/gateway/program.py
@@ -32,10 +32,10 @@
 
 ROLE = "gateway"
 
-MAXIMUM_PEER_BYTES = 1 << 24
+MAX_PEER_MESSAGE_BYTES = 1 << 24
 """Maximum size of a message from a peer, in bytes."""
 
-CHECK_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 """Interval between checks for readiness and for the end of a drain."""
 
 
@@ -115,7 +115,7 @@
 
     async def start(self) -> None:
         """Start serving peers and, if a caller address is set, callers."""
-        peer_application = web.Application(client_max_size=MAXIMUM_PEER_BYTES)
+        peer_application = web.Application(client_max_size=MAX_PEER_MESSAGE_BYTES)
         PeerRoutes(
             self.agent, self.dump, self.agent.answer_heartbeat, self._links.traffic
         ).register_routes(peer_application)
@@ -144,7 +144,7 @@
 
     async def _become_ready(self) -> None:
         while not self.agent.view.adoption.may_admit(clock.now()):
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         if self.life.fire(ProcessTrigger.SERVE):
             self._log.info("Serving.", address=self._settings.process.caller_address)
 
@@ -166,7 +166,7 @@
                     unsettled_claims=self.routes.unsettled_claims,
                 )
                 break
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         self.life.fire(ProcessTrigger.STOP)
         assert self.life.state == ProcessState.STOPPED
 
--- a/src/corkcrank/gateway/request_reader.py
+++ b/src/corkcrank/gateway/request_reader.py
@@ -13,13 +13,13 @@
 KEY_HEADER = "Idempotency-Key"
 """Header with the key of an unrepeatable call, the same in every retry."""
 
-MAXIMUM_KEY_LENGTH = 256
+MAX_KEY_LENGTH = 256
 """Maximum length of an idempotency key, in characters."""
 
-MAXIMUM_DEADLINE_SECONDS = 600.0
+MAX_DEADLINE_SECONDS = 600.0
 """Maximum deadline that is accepted."""
 
-MAXIMUM_TOKENS = 4096
+MAX_TOKENS = 4096
 """Maximum number of tokens that one request may ask for."""
 
 
@@ -38,8 +38,8 @@
         seconds = float(text) / 1000.0
     except ValueError:
         return Error(_malformed(f"{DEADLINE_HEADER} is not a number"))
-    if not seconds <= MAXIMUM_DEADLINE_SECONDS:
-        return Error(_malformed(f"{DEADLINE_HEADER} is above {MAXIMUM_DEADLINE_SECONDS:.0f} s"))
+    if not seconds <= MAX_DEADLINE_SECONDS:
+        return Error(_malformed(f"{DEADLINE_HEADER} is above {MAX_DEADLINE_SECONDS:.0f} s"))
     if seconds <= 0:
         return Error(Failure(ResultCode.DEADLINE_ALREADY_PAST))
     return Ok(seconds)
@@ -48,8 +48,8 @@
 def read_key(request: web.Request) -> Result[str, Failure]:
     """Return the idempotency key, or an empty string."""
     key = request.headers.get(KEY_HEADER, "")
-    if len(key) > MAXIMUM_KEY_LENGTH:
-        return Error(_malformed(f"{KEY_HEADER} is longer than {MAXIMUM_KEY_LENGTH}"))
+    if len(key) > MAX_KEY_LENGTH:
+        return Error(_malformed(f"{KEY_HEADER} is longer than {MAX_KEY_LENGTH}"))
     return Ok(key)
 
 
@@ -70,8 +70,8 @@
         decoded = msgspec.json.decode(body, type=PipelineRequest)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Error(_malformed(str(error)))
-    if decoded.max_tokens is not None and not 1 <= decoded.max_tokens <= MAXIMUM_TOKENS:
-        return Error(_malformed(f"max_tokens must be from 1 to {MAXIMUM_TOKENS}"))
+    if decoded.max_tokens is not None and not 1 <= decoded.max_tokens <= MAX_TOKENS:
+        return Error(_malformed(f"max_tokens must be from 1 to {MAX_TOKENS}"))
     return Ok(decoded)
 
 
--- a/src/corkcrank/gateway/retry.py
+++ b/src/corkcrank/gateway/retry.py
@@ -3,14 +3,14 @@
 RETRY_SHARE = 0.1
 """Number of retries added to the budget by each first attempt."""
 
-RETRY_RESERVE = 10.0
+MAX_RETRY_BALANCE = 10.0
 """Maximum and initial number of retries in a budget."""
 
 
 class RetryBudget:
     """The remaining retries of one gateway for one service."""
 
-    def __init__(self, share: float = RETRY_SHARE, reserve: float = RETRY_RESERVE) -> None:
+    def __init__(self, share: float = RETRY_SHARE, reserve: float = MAX_RETRY_BALANCE) -> None:
         self._share = share
         self._reserve = reserve
         self.balance = reserve
--- a/src/corkcrank/gateway/stage_process.py
+++ b/src/corkcrank/gateway/stage_process.py
@@ -12,7 +12,7 @@
 from corkcrank.contracts.result_codes import Failure, ResultCode
 from corkcrank.gateway.retry import RetryBudget
 
-MAXIMUM_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 """Maximum number of attempts of one stage, regardless of the retry budget."""
 
 RETRY_AFTER_SECONDS = 1.0
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptBroken:
+class AttemptFailed:
     """An attempt was cut off, timed out or failed its checks after bytes may have been sent."""
 
     attempt: AttemptId
@@ -52,7 +52,7 @@
     attempt: AttemptId
 
 
-StageEvent = StageStarted | AttemptAnswered | AttemptNotSent | AttemptBroken | AttemptTooLate
+StageEvent = StageStarted | AttemptAnswered | AttemptNotSent | AttemptFailed | AttemptTooLate
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUpStage:
+class AbandonStage:
     """The request fails at once with this failure."""
 
     failure: Failure
@@ -80,7 +80,7 @@
     """The event belongs to an earlier attempt and is ignored."""
 
 
-StageInstruction = SendAttempt | FinishStage | GiveUpStage | IgnoreEvent
+StageInstruction = SendAttempt | FinishStage | AbandonStage | IgnoreEvent
 
 ChooseWorker = Callable[[frozenset[WorkerId]], WorkerId | None]
 """Chooses a back end outside the given set, or one of the set if there is no other."""
@@ -134,7 +134,7 @@
                 self.work_started = True
                 self.ended = True
                 return FinishStage()
-            case AttemptBroken():
+            case AttemptFailed():
                 self.work_started = True
                 return self._retry(now)
             case AttemptNotSent():
@@ -145,14 +145,14 @@
 
     def validate(self) -> None:
         """Check the invariants between events."""
-        assert self.attempts <= MAXIMUM_ATTEMPTS
+        assert self.attempts <= MAX_ATTEMPTS
         assert self.current is None or self.attempts > 0
 
     def _retry(self, now: float) -> StageInstruction:
         self.current = None
         if now >= self._deadline:
             return self._abandon_late()
-        if self.attempts >= MAXIMUM_ATTEMPTS or not self._budget.try_spend():
+        if self.attempts >= MAX_ATTEMPTS or not self._budget.try_spend():
             return self._abandon(ResultCode.NO_BACKEND, ResultCode.STAGE_FAILED)
         return self._send(now)
 
@@ -167,11 +167,11 @@
         self.current = self._new_attempt()
         return SendAttempt(self.current, worker)
 
-    def _abandon_late(self) -> GiveUpStage:
+    def _abandon_late(self) -> AbandonStage:
         return self._abandon(ResultCode.DEADLINE_UNREACHABLE, ResultCode.DEADLINE_EXCEEDED)
 
-    def _abandon(self, not_run: ResultCode, started: ResultCode) -> GiveUpStage:
+    def _abandon(self, not_run: ResultCode, started: ResultCode) -> AbandonStage:
         self.ended = True
         self.current = None
         code = started if self.work_started else not_run
-        return GiveUpStage(Failure(code, retry_after=RETRY_AFTER_SECONDS))
+        return AbandonStage(Failure(code, retry_after=RETRY_AFTER_SECONDS))
--- a/tests/core/test_caller_lost_in_stream.py
+++ b/tests/core/test_caller_lost_in_stream.py
@@ -18,7 +18,7 @@
 from corkcrank.contracts.identifiers import RequestId, TenantName, WorkerId
 from corkcrank.contracts.messages import GenerateCall, TokenChunk, WorkerEntry
 from corkcrank.contracts.settings import Routing
-from corkcrank.gateway.admission import StageTimes
+from corkcrank.gateway.admission import ServiceTimeEstimate
 from corkcrank.gateway.dispatch import Dispatcher
 from corkcrank.gateway.pipeline_run import PipelineRun, TokenSink, stage_key
 from corkcrank.load.deployment import load_deployment
@@ -66,12 +66,14 @@
         pipeline=msgspec.structs.replace(pipeline, stages=(stage,), max_tokens=1000),
         index=index,
         dispatcher=Dispatcher(view, engine, policy, lambda: 0.0, frozenset),  # type: ignore[arg-type]
-        times={name: StageTimes(0.1) for name in (stage_key(pipeline, stage), stage.service)},
+        times={
+            name: ServiceTimeEstimate(0.1) for name in (stage_key(pipeline, stage), stage.service)
+        },
         text="question",
         max_tokens=1000,
         deadline=asyncio.get_running_loop().time() + 60.0,
         sink=sink,
-        gives_up_early=False,
+        abandons_early=False,
     )
 
 
--- a/tests/core/test_configuration_adoption.py
+++ b/tests/core/test_configuration_adoption.py
@@ -137,7 +137,7 @@
     planner = Planner(table)
     worker = WorkerId(name)
     for _ in range(6):
-        plan = await planner.draw(DrainWorker(worker))
+        plan = await planner.create_plan(DrainWorker(worker))
         if plan.is_error():
             continue
         answer = await planner.confirm(plan.ok.plan_id)
@@ -152,7 +152,7 @@
 @settings(max_examples=150)
 @given(seed=st.integers(0, 1 << 32))
 def test_concurrent_operators_each_confirm_their_own_plan(seed: int) -> None:
-    planning.SETTLE_PAUSE_SECONDS = 0.0
+    planning.CONFIRM_RETRY_PAUSE_SECONDS = 0.0
     table = FaultyTable(random.Random(seed))
     confirmed: list[tuple[str, int]] = []
 
@@ -175,8 +175,8 @@
     table = FaultyTable(random.Random(1))
     table.faulty = False
     planner = Planner(table)
-    first = (await planner.draw(DrainWorker(WorkerId("a")))).ok
-    second = (await planner.draw(DrainWorker(WorkerId("b")))).ok
+    first = (await planner.create_plan(DrainWorker(WorkerId("a")))).ok
+    second = (await planner.create_plan(DrainWorker(WorkerId("b")))).ok
     assert (await planner.confirm(first.plan_id)).ok.version == 1
     stale = (await planner.confirm(second.plan_id)).ok
     assert stale.code == ResultCode.PLAN_STALE.number
@@ -192,6 +192,6 @@
     table.faulty = False
     one_tier = Configuration(version=0, tiers=(Tier("a", 0),), services=())
     replacement = ReplaceConfiguration(one_tier)
-    assert (await Planner(table).draw(replacement)).is_ok()
+    assert (await Planner(table).create_plan(replacement)).is_ok()
     undrain = DrainWorker(WorkerId("a"), drained=False)
-    assert (await Planner(table).draw(undrain)).ok.changes == ()
+    assert (await Planner(table).create_plan(undrain)).ok.changes == ()
--- a/tests/core/test_stream_and_stage.py
+++ b/tests/core/test_stream_and_stage.py
@@ -9,14 +9,14 @@
 from corkcrank.contracts.identifiers import AttemptId, RequestId, TenantName, WorkerId
 from corkcrank.contracts.messages import Passage, StageAnswer, StageCall, TokenChunk
 from corkcrank.contracts.result_codes import Ran
-from corkcrank.gateway.answer_checks import answers_stage
+from corkcrank.gateway.answer_checks import matches_stage_call
 from corkcrank.gateway.retry import RetryBudget
 from corkcrank.gateway.stage_process import (
     AttemptAnswered,
-    AttemptBroken,
+    AttemptFailed,
     AttemptNotSent,
     FinishStage,
-    GiveUpStage,
+    AbandonStage,
     IgnoreEvent,
     SendAttempt,
     StageEvent,
@@ -125,12 +125,12 @@
             if isinstance(instruction, FinishStage):
                 assert isinstance(event, AttemptAnswered)
                 assert event.attempt == current
-            if isinstance(instruction, GiveUpStage) and instruction.failure.code.ran == Ran.NO:
+            if isinstance(instruction, AbandonStage) and instruction.failure.code.ran == Ran.NO:
                 assert not bytes_sent, "reported as not run after bytes were sent"
         if not sent:
             break
         attempt = source.choice(sent)
-        kind = source.choice((AttemptAnswered, AttemptBroken, AttemptBroken, AttemptNotSent))
+        kind = source.choice((AttemptAnswered, AttemptFailed, AttemptFailed, AttemptNotSent))
         event = kind(attempt)
         if attempt == process.current and kind is not AttemptNotSent:
             bytes_sent = True
@@ -158,4 +158,4 @@
     ],
 )
 def test_answers_to_other_calls_are_rejected(answer: StageAnswer) -> None:
-    assert not answers_stage(CALL, answer)
+    assert not matches_stage_call(CALL, answer)
