--- a/src/corkcrank/cli/log_commands.py
+++ b/src/corkcrank/cli/log_commands.py
@@ -6,7 +6,7 @@
 
 from corkcrank.cli.exit_codes import ExitCode
 from corkcrank.cli.explain import explain_call
-from corkcrank.reports.call_story import tell_stories
+from corkcrank.reports.call_story import summarize_calls
 from corkcrank.reports.log_records import read_all
 from corkcrank.reports.losses import LossReport, make_report
 from corkcrank.reports.losses_table import table_lines
@@ -36,7 +36,7 @@
     Example: corkcrank losses logs/*.log --plot losses.png
     """
     records = read_all(files)
-    stories = tell_stories(records)
+    stories = summarize_calls(records)
     if not stories:
         typer.echo("no call ended in these files", err=True)
         raise typer.Exit(ExitCode.NOT_FOUND)
--- a/src/corkcrank/load/cuttable_link.py
+++ b/src/corkcrank/load/cuttable_link.py
@@ -30,7 +30,7 @@
         for writer in self._writers:
             writer.close()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Accept connections again."""
         self._is_cut = False
 
--- a/src/corkcrank/reports/call_story.py
+++ b/src/corkcrank/reports/call_story.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class CallStory:
+class CallSummary:
     """One call that ended; times are in seconds, ``began_at`` on the machine's wall clock.
 
     ``held`` is the time from the call's arrival to its end. ``left`` is how much longer its
@@ -142,7 +142,7 @@
     return Loss.STAGE_WAIT if "wait" in detail else Loss.STAGE_LOST
 
 
-def tell_stories(records: Iterable[LogRecord]) -> list[CallStory]:
+def summarize_calls(records: Iterable[LogRecord]) -> list[CallSummary]:
     """Return the calls that ended, in order of their end; ``records`` must be sorted by time."""
     steps: dict[str, dict[Step, float]] = {}
     batches: dict[str, float] = {}
@@ -173,10 +173,12 @@
     return summaries
 
 
-def _summarize(record: LogRecord, steps: dict[Step, float], stream: LogRecord | None) -> CallStory:
+def _summarize(
+    record: LogRecord, steps: dict[Step, float], stream: LogRecord | None
+) -> CallSummary:
     first_byte = float(record["first_byte"])
     steps[Step.OTHER] = max(0.0, first_byte - sum(steps.values()))
-    return CallStory(
+    return CallSummary(
         call_id=record["call"],
         began_at=time_of(record) - float(record["seconds"]),
         held=float(record["seconds"]),
--- a/src/corkcrank/reports/held.py
+++ b/src/corkcrank/reports/held.py
@@ -6,7 +6,7 @@
 from math import ceil
 from statistics import median
 
-from corkcrank.reports.call_story import CallStory, Loss
+from corkcrank.reports.call_story import CallSummary, Loss
 
 HELD_BOUNDS = (0.02, 0.1, 0.5, 1.0, 2.0)
 """Exclusive upper bounds of all buckets but the last, in seconds."""
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class HeldCalls:
+class UnservedCalls:
     """Calls of one route and rank that ended for one cause without being served.
 
     ``seconds`` lists the time from arrival to end of each call, ``shares`` the same time as a
@@ -70,7 +70,7 @@
         """Return the 95th percentile of the time to the end, as a share of the objective."""
         return percentile(self.shares, HIGH_PERCENTILE)
 
-    def add(self, summary: CallStory) -> None:
+    def add(self, summary: CallSummary) -> None:
         """Add one call to the figures."""
         self.seconds.append(summary.held)
         self.shares.append(summary.held / max(1e-9, summary.objective))
@@ -80,8 +80,8 @@
 class HeldReport:
     """Calls that were not served: over all routes by cause, and by route and cause."""
 
-    totals: list[HeldCalls]
-    routes: list[HeldCalls]
+    totals: list[UnservedCalls]
+    routes: list[UnservedCalls]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
@@ -93,17 +93,17 @@
     return sorted(values)[max(1, ceil(share * len(values))) - 1]
 
 
-def held_calls(summaries: Iterable[CallStory]) -> HeldReport:
+def held_calls(summaries: Iterable[CallSummary]) -> HeldReport:
     """Return the calls that were not served; within a group, the most frequent cause first."""
-    totals: dict[Loss, HeldCalls] = {}
-    routes: dict[tuple[str, str, Loss], HeldCalls] = {}
+    totals: dict[Loss, UnservedCalls] = {}
+    routes: dict[tuple[str, str, Loss], UnservedCalls] = {}
     for summary in summaries:
         loss = summary.loss
         if loss in SERVED_LOSSES:
             continue
-        totals.setdefault(loss, HeldCalls("all routes", "", loss)).add(summary)
+        totals.setdefault(loss, UnservedCalls("all routes", "", loss)).add(summary)
         key = (summary.route, summary.rank, loss)
-        routes.setdefault(key, HeldCalls(*key)).add(summary)
+        routes.setdefault(key, UnservedCalls(*key)).add(summary)
     return HeldReport(
         sorted(totals.values(), key=lambda item: -item.calls),
         sorted(routes.values(), key=lambda item: (item.rank, item.route, -item.calls)),
--- a/src/corkcrank/reports/losses.py
+++ b/src/corkcrank/reports/losses.py
@@ -4,12 +4,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from corkcrank.reports.call_story import CallStory, Loss, Step
+from corkcrank.reports.call_story import CallSummary, Loss, Step
 from corkcrank.reports.held import HeldReport, held_calls
 from corkcrank.reports.log_records import LogRecord
-from corkcrank.reports.sent_back import SentBackReport, sent_back
+from corkcrank.reports.sent_back import RetryReport, sent_back
 from corkcrank.reports.stage_work import WorkerTime, worker_times
-from corkcrank.reports.work_for_nobody import WorkForNobody, work_for_nobody
+from corkcrank.reports.work_for_nobody import WastedWork, sum_wasted_work
 
 WINDOW_SECONDS = 2.0
 """Length of one time window in the list of losses over time."""
@@ -32,7 +32,7 @@
         """Return the number of calls."""
         return self.causes.total()
 
-    def add(self, summary: CallStory) -> None:
+    def add(self, summary: CallSummary) -> None:
         """Add one call to the figures."""
         self.causes[summary.loss] += 1
         if summary.returning:
@@ -59,11 +59,11 @@
     windows: list[WindowLosses]
     workers: list[WorkerTime]
     held: HeldReport
-    sent_back: SentBackReport
-    for_nobody: list[WorkForNobody]
+    sent_back: RetryReport
+    wasted_work: list[WastedWork]
 
 
-def make_report(summaries: Sequence[CallStory], records: Sequence[LogRecord]) -> LossReport:
+def make_report(summaries: Sequence[CallSummary], records: Sequence[LogRecord]) -> LossReport:
     """Return the report on calls, with the log records from which they were rebuilt."""
     return LossReport(
         routes=_by_route(summaries),
@@ -71,11 +71,11 @@
         workers=worker_times(records),
         held=held_calls(summaries),
         sent_back=sent_back(summaries),
-        for_nobody=work_for_nobody(records),
+        wasted_work=sum_wasted_work(records),
     )
 
 
-def _by_route(summaries: Sequence[CallStory]) -> list[RouteLosses]:
+def _by_route(summaries: Sequence[CallSummary]) -> list[RouteLosses]:
     routes: dict[str, RouteLosses] = {}
     for summary in summaries:
         key = f"{summary.route} {summary.rank}"
@@ -86,7 +86,7 @@
     return sorted(routes.values(), key=lambda item: (item.rank, item.route))
 
 
-def _by_window(summaries: Sequence[CallStory]) -> list[WindowLosses]:
+def _by_window(summaries: Sequence[CallSummary]) -> list[WindowLosses]:
     first = min((summary.began_at for summary in summaries), default=0.0)
     windows: dict[int, WindowLosses] = {}
     for summary in summaries:
--- a/src/corkcrank/reports/losses_table.py
+++ b/src/corkcrank/reports/losses_table.py
@@ -4,11 +4,11 @@
 from statistics import median
 
 from corkcrank.reports.call_story import Loss, Step
-from corkcrank.reports.held import HELD_BOUNDS, HeldCalls, HeldReport
+from corkcrank.reports.held import HELD_BOUNDS, UnservedCalls, HeldReport
 from corkcrank.reports.losses import LossReport, RouteLosses, WindowLosses
-from corkcrank.reports.sent_back import LOAD_BOUNDS, Fate, SentBack, SentBackReport
+from corkcrank.reports.sent_back import LOAD_BOUNDS, RetryOutcome, RefusedGroup, RetryReport
 from corkcrank.reports.stage_work import WorkerTime
-from corkcrank.reports.work_for_nobody import WorkForNobody
+from corkcrank.reports.work_for_nobody import WastedWork
 
 
 def table_lines(report: LossReport, least_calls: int = 1) -> Iterator[str]:
@@ -29,7 +29,7 @@
     yield from (_worker_line(worker) for worker in report.workers)
     yield ""
     yield "Work done for nobody: calls whose callers left, by step, and workers' seconds on them"
-    yield from (_nobody_line(work) for work in report.for_nobody)
+    yield from (_nobody_line(work) for work in report.wasted_work)
 
 
 def _route_lines(route: RouteLosses) -> Iterator[str]:
@@ -59,7 +59,7 @@
     return f"{window.begins:6.0f} s  {window.causes.total():4d} {served:4d}  {lost}"
 
 
-def _nobody_line(work: WorkForNobody) -> str:
+def _nobody_line(work: WastedWork) -> str:
     return (
         f"{work.calls:5d}  {work.step}: stage workers {work.stage_seconds:.2f} s "
         f"(after the close {work.after_close:.2f} s), "
@@ -92,7 +92,7 @@
         yield from (_held_line(group) for group in groups)
 
 
-def _held_line(group: HeldCalls) -> str:
+def _held_line(group: UnservedCalls) -> str:
     buckets = "".join(f"{count:7d}" for count in group.buckets)
     return (
         f"    {group.cause.value:31s} {group.calls:5d}  {buckets}"
@@ -100,24 +100,24 @@
     )
 
 
-def _sent_back_lines(report: SentBackReport) -> Iterator[str]:
+def _sent_back_lines(report: RetryReport) -> Iterator[str]:
     yield "Callers sent back: by cause and share of calls refused in the second of the refusal"
-    fates = "".join(f"  {fate.value}" for fate in Fate)
+    fates = "".join(f"  {fate.value}" for fate in RetryOutcome)
     yield f"{'':35s} load    refused  as told{fates}   share  sooner (in time)"
     yield from (_sent_back_line(group) for group in report.groups)
     yield (
         f"    {report.unmatched} of {report.returning} calls of returning callers fit no refusal; "
-        f"{report.untold} refusals without a known time are left out"
+        f"{report.without_retry_delay} refusals without a known time are left out"
     )
 
 
-def _sent_back_line(group: SentBack) -> str:
+def _sent_back_line(group: RefusedGroup) -> str:
     returned = group.returns.total()
-    fates = "".join(f"  {group.returns[fate]:{len(fate.value)}d}" for fate in Fate)
-    share = f"{group.returns[Fate.IN_TIME] / returned:.2f}" if returned else "-"
+    fates = "".join(f"  {group.returns[fate]:{len(fate.value)}d}" for fate in RetryOutcome)
+    share = f"{group.returns[RetryOutcome.IN_TIME] / returned:.2f}" if returned else "-"
     return (
         f"    {group.cause.value:31s} {_band_name(group.band):7s} {group.refused:7d}  {returned:7d}"
-        f"{fates}  {share:>6s}  {group.sooner.total():6d} ({group.sooner[Fate.IN_TIME]})"
+        f"{fates}  {share:>6s}  {group.early.total():6d} ({group.early[RetryOutcome.IN_TIME]})"
     )
 
 
--- a/src/corkcrank/reports/sent_back.py
+++ b/src/corkcrank/reports/sent_back.py
@@ -16,7 +16,7 @@
 from enum import StrEnum
 from math import floor
 
-from corkcrank.reports.call_story import CallStory, Loss
+from corkcrank.reports.call_story import CallSummary, Loss
 from corkcrank.reports.held import LATE_LOSSES
 
 EARLY_SECONDS = 0.05
@@ -44,7 +44,7 @@
 """Losses of calls refused for lack of capacity or by a stop: no worker has run them."""
 
 
-class Fate(StrEnum):
+class RetryOutcome(StrEnum):
     """The outcome of a retry."""
 
     IN_TIME = "in time"
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class SentBack:
+class RefusedGroup:
     """Calls refused with a retry delay, for one cause and at one load band.
 
     ``returns`` counts the retries at the scheduled time by their outcome, and ``sooner`` the
@@ -64,22 +64,22 @@
     cause: Loss
     band: int
     refused: int = 0
-    returns: Counter[Fate] = field(default_factory=Counter)
-    sooner: Counter[Fate] = field(default_factory=Counter)
+    returns: Counter[RetryOutcome] = field(default_factory=Counter)
+    early: Counter[RetryOutcome] = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
-class SentBackReport:
+class RetryReport:
     """Outcomes of retries after a refusal, and the calls that could not be matched.
 
     ``unmatched`` counts the retries that match no refusal, out of ``returning`` retries;
     ``untold`` counts refusals without a known retry delay.
     """
 
-    groups: list[SentBack]
+    groups: list[RefusedGroup]
     returning: int
     unmatched: int
-    untold: int
+    without_retry_delay: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,14 +91,14 @@
     arrival: int
 
 
-def fate_of(summary: CallStory) -> Fate:
+def retry_outcome(summary: CallSummary) -> RetryOutcome:
     """Return the outcome of a call."""
     loss = summary.loss
     if loss is Loss.NONE:
-        return Fate.IN_TIME
+        return RetryOutcome.IN_TIME
     if loss in LATE_LOSSES:
-        return Fate.LATE
-    return Fate.REFUSED if loss in REFUSED_LOSSES else Fate.FAILED
+        return RetryOutcome.LATE
+    return RetryOutcome.REFUSED if loss in REFUSED_LOSSES else RetryOutcome.FAILED
 
 
 def load_band(share: float) -> int:
@@ -110,48 +110,48 @@
     return sum(share >= bound for bound in LOAD_BOUNDS)
 
 
-def sent_back(summaries: Sequence[CallStory]) -> SentBackReport:
+def sent_back(summaries: Sequence[CallSummary]) -> RetryReport:
     """Return the report on callers that were refused with a retry delay."""
     refusals = [index for index, summary in enumerate(summaries) if _was_sent_back(summary)]
     scheduled, early = _match(summaries, refusals)
     matched = set(scheduled.values()) | set(early.values())
     returning = [index for index, summary in enumerate(summaries) if summary.returning]
-    return SentBackReport(
+    return RetryReport(
         _groups(summaries, refusals, scheduled, early),
         returning=len(returning),
         unmatched=sum(index not in matched for index in returning),
-        untold=sum(
+        without_retry_delay=sum(
             summary.loss in REFUSED_LOSSES and summary.retry_after is None for summary in summaries
         ),
     )
 
 
-def _was_sent_back(summary: CallStory) -> bool:
+def _was_sent_back(summary: CallSummary) -> bool:
     return summary.retry_after is not None and not summary.outcome.isdigit()
 
 
 def _groups(
-    summaries: Sequence[CallStory],
+    summaries: Sequence[CallSummary],
     refusals: Sequence[int],
     scheduled: dict[int, int],
     early: dict[int, int],
-) -> list[SentBack]:
+) -> list[RefusedGroup]:
     shares = _refused_shares(summaries)
-    groups: dict[tuple[Loss, int], SentBack] = {}
+    groups: dict[tuple[Loss, int], RefusedGroup] = {}
     for index in refusals:
         summary = summaries[index]
         key = (summary.loss, load_band(shares[floor(summary.began_at)]))
-        group = groups.setdefault(key, SentBack(*key))
+        group = groups.setdefault(key, RefusedGroup(*key))
         group.refused += 1
         if index in scheduled:
-            group.returns[fate_of(summaries[scheduled[index]])] += 1
+            group.returns[retry_outcome(summaries[scheduled[index]])] += 1
         elif index in early:
-            group.sooner[fate_of(summaries[early[index]])] += 1
+            group.early[retry_outcome(summaries[early[index]])] += 1
     causes = list(Loss)
     return sorted(groups.values(), key=lambda item: (causes.index(item.cause), item.band))
 
 
-def _refused_shares(summaries: Sequence[CallStory]) -> dict[int, float]:
+def _refused_shares(summaries: Sequence[CallSummary]) -> dict[int, float]:
     """Return, for each second, the share of the calls arriving in it that were refused."""
     calls: Counter[int] = Counter()
     refused: Counter[int] = Counter()
@@ -163,7 +163,7 @@
 
 
 def _match(
-    summaries: Sequence[CallStory], refusals: Sequence[int]
+    summaries: Sequence[CallSummary], refusals: Sequence[int]
 ) -> tuple[dict[int, int], dict[int, int]]:
     """Return the retry of each refusal: on schedule, and, for the other refusals, earlier."""
     arrivals = _Arrivals(summaries)
@@ -198,14 +198,14 @@
 class _Arrivals:
     """Index of calls by route and tenant, in order of arrival."""
 
-    def __init__(self, summaries: Sequence[CallStory]) -> None:
+    def __init__(self, summaries: Sequence[CallSummary]) -> None:
         self._summaries = summaries
         self._indices: dict[tuple[str, str], list[int]] = defaultdict(list)
         for index in sorted(range(len(summaries)), key=lambda item: summaries[item].began_at):
             self._indices[self._key(summaries[index])].append(index)
 
     @staticmethod
-    def _key(summary: CallStory) -> tuple[str, str]:
+    def _key(summary: CallSummary) -> tuple[str, str]:
         return summary.route, summary.tenant
 
     def candidates_for(self, refusal: int, since: float, until: float) -> Iterator[_Pair]:
--- a/src/corkcrank/reports/stops.py
+++ b/src/corkcrank/reports/stops.py
@@ -40,7 +40,7 @@
     stops: int = 0
     calls: Counter[tuple[Read, End]] = field(default_factory=Counter)
 
-    def of(self, read: Read, end: End) -> int:
+    def count(self, read: Read, end: End) -> int:
         """Return the number of calls that were read at ``read`` and ended in ``end``."""
         return self.calls[read, end]
 
@@ -67,7 +67,7 @@
     yield f"{report.stops} stops; calls by when they were read:"
     yield f"{'':22s}" + "".join(f"{end.value:>20s}" for end in End)
     for read in Read:
-        counts = "".join(f"{report.of(read, end):20d}" for end in End)
+        counts = "".join(f"{report.count(read, end):20d}" for end in End)
         yield f"{read.value:22s}{counts}"
 
 
--- a/src/corkcrank/reports/work_for_nobody.py
+++ b/src/corkcrank/reports/work_for_nobody.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class WorkForNobody:
+class WastedWork:
     """Wasted work on calls whose callers left at one step; times are in seconds.
 
     ``stage_seconds`` is the time of stage workers on pieces with unused results.
@@ -29,17 +29,17 @@
     worker_seconds: float = 0.0
 
 
-def work_for_nobody(records: Sequence[LogRecord]) -> list[WorkForNobody]:
+def sum_wasted_work(records: Sequence[LogRecord]) -> list[WastedWork]:
     """Return the wasted work by step; ``records`` must be sorted by time."""
-    steps: dict[str, WorkForNobody] = {}
-    work_by_call: dict[str, WorkForNobody] = {}
+    steps: dict[str, WastedWork] = {}
+    work_by_call: dict[str, WastedWork] = {}
     sent_at: dict[str, float] = {}
     for record in records:
         if record["event"] == LogEvent.CALL_SENT:
             sent_at[record["call"]] = time_of(record)
         elif record["event"] == LogEvent.CALL_ENDED and record["outcome"] == CALLER_LEFT:
             step = record.get("step") or UNKNOWN_STEP
-            work = steps.setdefault(step, WorkForNobody(step))
+            work = steps.setdefault(step, WastedWork(step))
             work_by_call[record["call"]] = work
             work.calls += 1
             ended_at = time_of(record)
@@ -48,7 +48,7 @@
     return [steps[step] for step in sorted(steps)]
 
 
-def _add_batches(records: Iterable[LogRecord], work_by_call: dict[str, WorkForNobody]) -> None:
+def _add_batches(records: Iterable[LogRecord], work_by_call: dict[str, WastedWork]) -> None:
     """Add the batches of abandoned calls; a batch is divided equally among its calls."""
     for record in records:
         if record["event"] != LogEvent.BATCH_ENDED:
--- a/src/corkcrank/standins/faults.py
+++ b/src/corkcrank/standins/faults.py
@@ -48,7 +48,7 @@
     leaving: bool = False
     boot: str = FIRST_BOOT
 
-    def take_lost_answer(self) -> bool:
+    def consume_lost_answer(self) -> bool:
         """Return whether to drop this answer, and count it down."""
         if self.lose_answers == 0:
             return False
--- a/src/corkcrank/standins/plain.py
+++ b/src/corkcrank/standins/plain.py
@@ -58,7 +58,7 @@
         call = msgspec.json.decode(await request.read(), type=PlainCall)
         self._runs.append(Run(call.tenant, call.operation, call.key, call.attempt, time.time()))
         seconds = await self._work(0)
-        if self.switch.faults.take_lost_answer():
+        if self.switch.faults.consume_lost_answer():
             cut_connection(request)
         return json_response(
             PlainAnswer(
--- a/src/corkcrank/standins/pool.py
+++ b/src/corkcrank/standins/pool.py
@@ -48,7 +48,7 @@
         call = msgspec.json.decode(await request.read(), type=StageCall)
         self.calls += 1
         seconds = await self._work(call.rank)
-        if self.switch.faults.take_lost_answer():
+        if self.switch.faults.consume_lost_answer():
             cut_connection(request)
         return json_response(self._answer(call, seconds))
 
--- a/src/corkcrank/standins/table.py
+++ b/src/corkcrank/standins/table.py
@@ -98,7 +98,7 @@
             return web.Response(status=429)
         await asyncio.sleep(COMMIT_SECONDS * self.switch.faults.slow_factor)
         answer = self._commit(body)
-        if self.switch.faults.take_lost_answer():
+        if self.switch.faults.consume_lost_answer():
             cut_connection(request)
         return json_response(answer)
 
--- a/tests/platform/test_held_calls.py
+++ b/tests/platform/test_held_calls.py
@@ -15,7 +15,7 @@
 from corkcrank.cli.operator import application
 from corkcrank.contracts import clock
 from corkcrank.links.decision_log import LogEvent
-from corkcrank.reports.call_story import CallStory, Loss, tell_stories
+from corkcrank.reports.call_story import CallSummary, Loss, summarize_calls
 from corkcrank.reports.held import held_calls
 
 BEGAN = 1000.0
@@ -44,8 +44,8 @@
     }
 
 
-def stories_of(lines: list[dict[str, Any]]) -> list[CallStory]:
-    return tell_stories(sorted(lines, key=lambda line: float(line["time"])))
+def stories_of(lines: list[dict[str, Any]]) -> list[CallSummary]:
+    return summarize_calls(sorted(lines, key=lambda line: float(line["time"])))
 
 
 HELD = [
--- a/tests/platform/test_losses.py
+++ b/tests/platform/test_losses.py
@@ -14,7 +14,7 @@
 from corkcrank.cli.operator import application
 from corkcrank.contracts import clock
 from corkcrank.links.decision_log import LogEvent
-from corkcrank.reports.call_story import Loss, Step, tell_stories
+from corkcrank.reports.call_story import Loss, Step, summarize_calls
 from corkcrank.reports.log_records import read_all
 from corkcrank.reports.losses import LossReport, make_report
 
@@ -71,7 +71,7 @@
 
 async def report_of(folder: Path) -> LossReport:
     records = read_all([await record(folder)])
-    return make_report(tell_stories(records), records)
+    return make_report(summarize_calls(records), records)
 
 
 async def test_each_lost_call_has_its_cause(tmp_path: Path) -> None:
@@ -115,8 +115,8 @@
         else item
         for item in records
     ]
-    told = [story.retry_after for story in tell_stories(records)]
-    assert [story.retry_after for story in tell_stories(without)] == told
+    told = [story.retry_after for story in summarize_calls(records)]
+    assert [story.retry_after for story in summarize_calls(without)] == told
     assert sum(item is not None for item in told) == 2
 
 
--- a/tests/platform/test_release_times.py
+++ b/tests/platform/test_release_times.py
@@ -25,7 +25,7 @@
 from corkcrank.cli.operator import application
 from corkcrank.contracts import clock
 from corkcrank.reports.log_records import read_all
-from corkcrank.reports.work_for_nobody import WorkForNobody, work_for_nobody
+from corkcrank.reports.work_for_nobody import WastedWork, sum_wasted_work
 
 ROUTES = [
     route("safe", "safe", "plain"),
@@ -125,7 +125,7 @@
 
 async def test_losses_report_the_wasted_work(tmp_path: Path) -> None:
     path, _ = await record(tmp_path)
-    by_step = {work.step: work for work in work_for_nobody(read_all([path]))}
+    by_step = {work.step: work for work in sum_wasted_work(read_all([path]))}
     assert {step: work.calls for step, work in by_step.items()} == {
         "stages": 2,
         "plain": 1,
@@ -137,7 +137,7 @@
     assert stages.stage_seconds >= stages.after_close >= STAGE_SECONDS
     assert stages.worker_seconds == 0.0
     assert by_step["relay"].worker_seconds > 0.0
-    assert by_step["unread"] == WorkForNobody("unread", calls=1)
+    assert by_step["unread"] == WastedWork("unread", calls=1)
     done = CliRunner().invoke(application, ["losses", str(path)])
     assert done.exit_code == 0, done.output
     assert "Work done for nobody" in done.output
@@ -151,7 +151,7 @@
         with logged(running, tmp_path) as path:
             response = await running.call("/safe/x")
             await response.read()
-    assert work_for_nobody(read_all([path])) == []
+    assert sum_wasted_work(read_all([path])) == []
     (ended,) = [line for line in lines_of(path) if line["event"] == "Call: ended."]
     assert (ended["outcome"], ended["step"]) == ("200", "")
 
--- a/tests/platform/test_sent_back.py
+++ b/tests/platform/test_sent_back.py
@@ -6,7 +6,7 @@
 from test_held_calls import ended, printed, stories_of
 
 from corkcrank.reports.call_story import Loss
-from corkcrank.reports.sent_back import Fate, sent_back
+from corkcrank.reports.sent_back import RetryOutcome, sent_back
 
 # In the first second 3 of 4 calls are refused, in the second 1 of 2, in the third 1 of 4.
 LINES = [
@@ -37,16 +37,16 @@
         (Loss.STOPPING, 1): 1,
         (Loss.STOPPING, 2): 1,
     }
-    assert groups[Loss.FORECAST, 2].returns == {Fate.IN_TIME: 1}
-    assert groups[Loss.FORECAST, 2].sooner == {Fate.IN_TIME: 1}
-    assert groups[Loss.STOPPING, 2].returns == {Fate.REFUSED: 1}
-    assert groups[Loss.STOPPING, 1].returns == {Fate.LATE: 1}
+    assert groups[Loss.FORECAST, 2].returns == {RetryOutcome.IN_TIME: 1}
+    assert groups[Loss.FORECAST, 2].early == {RetryOutcome.IN_TIME: 1}
+    assert groups[Loss.STOPPING, 2].returns == {RetryOutcome.REFUSED: 1}
+    assert groups[Loss.STOPPING, 1].returns == {RetryOutcome.LATE: 1}
     assert groups[Loss.FORECAST, 0].returns.total() == 0
 
 
 def test_calls_without_a_match_are_counted() -> None:
     report = sent_back(stories_of([*LINES, ended("NO_BACKEND", 0.0, 9.0)]))
-    assert (report.returning, report.unmatched, report.untold) == (5, 2, 1)
+    assert (report.returning, report.unmatched, report.without_retry_delay) == (5, 2, 1)
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
     back = ended("STAGE_FAILED", 0.5, arrives, left=11.0 - arrives - 0.5)
     (group,) = sent_back(stories_of([refusal, back])).groups
     assert group.returns.total() == found
-    assert group.returns[Fate.FAILED] == found
+    assert group.returns[RetryOutcome.FAILED] == found
 
 
 def test_nearest_retry_is_matched_and_each_only_once() -> None:
@@ -66,12 +66,12 @@
         ended("CAPACITY_SHORT", 0.0, 1.02, left=10.0, retry_after=1.0),
     ]
     near = ended("200", 0.5, 2.03, left=8.5)
-    assert _returns([*refusals, near]) == {Fate.IN_TIME: 1}
+    assert _returns([*refusals, near]) == {RetryOutcome.IN_TIME: 1}
     far = ended("200", 3.0, 2.15, left=5.86)
-    assert _returns([*refusals, near, far]) == {Fate.IN_TIME: 1, Fate.LATE: 1}
+    assert _returns([*refusals, near, far]) == {RetryOutcome.IN_TIME: 1, RetryOutcome.LATE: 1}
 
 
-def _returns(lines: list[dict[str, object]]) -> dict[Fate, int]:
+def _returns(lines: list[dict[str, object]]) -> dict[RetryOutcome, int]:
     (group,) = sent_back(stories_of(lines)).groups
     return dict(group.returns)
 
