--- a/tests/soak/accepting.py
+++ b/tests/soak/accepting.py
@@ -18,7 +18,7 @@
 
 _HEAD = f"POST /safe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Corkcrank-Credential: {KEY}\r\n"
 _UNKNOWN = f"GET /no-such-route HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode()
-FLOODS = (
+FLOOD_PAYLOADS = (
     b"",
     _HEAD.encode(),
     f"{_HEAD}X-Corkcrank-Attempt-Id: f100d\r\nContent-Length: 900\r\n\r\nhalf".encode(),
@@ -36,7 +36,7 @@
         while len(writers) < FLOOD_CONNECTIONS and time.monotonic() < end_at:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + PROBE_SECONDS):
                 _, writer = await asyncio.open_connection(host, int(port))
-            writer.write(FLOODS[kind])
+            writer.write(FLOOD_PAYLOADS[kind])
             writers.append(writer)
             await asyncio.sleep(FLOOD_PAUSE_SECONDS)
         await asyncio.sleep(max(0.0, end_at - time.monotonic()))
@@ -72,13 +72,15 @@
             begun_at = time.monotonic()
             taken = await _receives_response(self.address)
             self.probes += 1
-            self.judge(taken, begun_at, time.monotonic())
+            self.record_attempt(taken, begun_at, time.monotonic())
             await asyncio.sleep(PROBE_PAUSE_SECONDS)
 
-    def judge(self, taken: bool, begun_at: float, now: float) -> None:
+    def record_attempt(self, taken: bool, begun_at: float, now: float) -> None:
         """Record whether a connection attempt that started at ``begun_at`` was accepted."""
         disturbances = self.ledger.disturbances
-        disturbed = any(disturbances.since(part, begun_at) for part in (self.name, MACHINE))
+        disturbed = any(
+            disturbances.disturbed_since(part, begun_at) for part in (self.name, MACHINE)
+        )
         excused = disturbed or not self.ready()
         if taken or excused:
             self.idle_since = now
--- a/tests/soak/bounds.py
+++ b/tests/soak/bounds.py
@@ -25,8 +25,8 @@
     leaving: float = 2.5
     configuration: float = 2.5
     evacuation: float = 2.5
-    told_cold: float = 1.0
-    told_limit: float = 3.0
+    cold_notice: float = 1.0
+    limit_notice: float = 3.0
     cold_requests: float = 1.5 * WARMUP_RATE + 5
     grace: float = 6.0
     contact: float = 3.0
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -9,7 +9,7 @@
 
 from node_world import HOST, KEY
 
-from soak.ledger import CRASHING_KEY, Ledger
+from soak.ledger import CRASHING_KEY_PREFIX, Ledger
 from soak.sent_calls import Answer, SentCall
 
 THINK_SECONDS = (0.0, 0.08)
@@ -44,7 +44,7 @@
         self._reader = reader
         self._writer = writer
 
-    def has_surplus(self) -> bool:
+    def has_unexpected_bytes(self) -> bool:
         """Return whether bytes arrived while no call was in progress."""
         buffered: bytearray = self._reader._buffer  # type: ignore[attr-defined]
         return len(buffered) > 0
@@ -135,7 +135,7 @@
         connection.close()
         return answer
 
-    async def send_same(self, route: RouteUse, target: str, body: bytes) -> None:
+    async def send_crashing(self, route: RouteUse, target: str, body: bytes) -> None:
         """Send a worker-crashing request with a new call id over a new connection."""
         connection = await self._connect()
         if connection is None:
@@ -143,7 +143,7 @@
         call = self.make_call(route, connection.node)
         call.target, call.body = target, body
         if call.pieces:
-            call.headers["X-Corkcrank-Segment-Key"] = f"{CRASHING_KEY}{target}"
+            call.headers["X-Corkcrank-Segment-Key"] = f"{CRASHING_KEY_PREFIX}{target}"
         await self._exchange_recorded(connection, call)
         connection.close()
 
@@ -196,7 +196,7 @@
             connection.close()
 
     async def _send_random_call(self, connection: Connection) -> None:
-        if connection.has_surplus():
+        if connection.has_unexpected_bytes():
             self._ledger.violate("whole", f"{connection.node} sent bytes that nobody asked for")
             connection.close()
             return
@@ -211,14 +211,14 @@
         await asyncio.sleep(min(wait, MAX_RETRY_SECONDS))
 
     async def _exchange_recorded(self, connection: Connection, call: SentCall) -> Answer:
-        self._ledger.sent(call)
+        self._ledger.record_sent(call)
         answer = await connection.exchange(call)
-        self._ledger.answered(call, answer)
+        self._ledger.record_answer(call, answer)
         return answer
 
     async def _abandon(self, connection: Connection, call: SentCall) -> None:
         """Send a call and close the connection after at most 0.2 s."""
-        self._ledger.sent(call)
+        self._ledger.record_sent(call)
         sending = asyncio.create_task(connection.exchange(call))
         await asyncio.wait({sending}, timeout=self._source.uniform(0.0, 0.2))
         connection.close()
--- a/tests/soak/crashing.py
+++ b/tests/soak/crashing.py
@@ -11,7 +11,7 @@
 from corkcrank.contracts.request_fingerprint import request_fingerprint
 from soak.clients import Clients, RouteUse
 from soak.fleet import FIRST_PEER_PORT, AnyWorker, SoakFleet, SoakNode
-from soak.ledger import CRASHING
+from soak.ledger import CRASHING_BODY_PREFIX
 from soak.restarts import CRASHED_ENTRY_SECONDS
 from soak.schedule import Fault
 from soak.sent_calls import SentCall
@@ -58,11 +58,11 @@
         """Repeat one request for some seconds; return when every worker has restarted."""
         use = ROUTES[int(fault.choice * len(ROUTES))]
         self._number += 1
-        body = CRASHING + f"{self._number} {fault.choice}".encode()
+        body = CRASHING_BODY_PREFIX + f"{self._number} {fault.choice}".encode()
         end_at = time.monotonic() + 2.0 * fault.seconds
         low, high = PAUSE_SECONDS
         while time.monotonic() < end_at:
-            await self._clients.send_same(use, f"/{use.name}/crash{self._number}", body)
+            await self._clients.send_crashing(use, f"/{use.name}/crash{self._number}", body)
             await asyncio.sleep(low + fault.strength * (high - low))
         await asyncio.gather(*self._restarts)
 
@@ -147,7 +147,7 @@
             await asyncio.sleep(max(0.0, seconds - CRASHED_ENTRY_SECONDS))
         await link.listen_again()
         if not leaving:
-            await fleet.start_again(worker, keep_link=True)
+            await fleet.restart_worker(worker, keep_link=True)
         fleet.ledger.disturbances.end("workers")
 
 
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -275,7 +275,7 @@
         self.store.put("servers", worker.worker_id, worker.entry())
         return worker
 
-    async def start_again(self, worker: AnyWorker, *, keep_link: bool) -> None:
+    async def restart_worker(self, worker: AnyWorker, *, keep_link: bool) -> None:
         """Restart an exited worker under its id, without its earlier state."""
         if isinstance(worker, SoakStageWorker):
             worker.lose_results()
@@ -324,7 +324,7 @@
         while True:
             before = time.monotonic()
             await asyncio.sleep(LAG_PROBE_SECONDS)
-            self.ledger.note_lag(time.monotonic() - before - LAG_PROBE_SECONDS)
+            self.ledger.record_lag(time.monotonic() - before - LAG_PROBE_SECONDS)
 
 
 def _ignore_crashing_request(worker: AnyWorker, call: SentCall) -> None:
--- a/tests/soak/injector.py
+++ b/tests/soak/injector.py
@@ -8,17 +8,17 @@
 
 from node_world import route
 
-from soak.accepting import FLOODS, flood
+from soak.accepting import FLOOD_PAYLOADS, flood
 from soak.cold_engines import turn_cold
 from soak.crashing import CrashingRequests
 from soak.evacuations import evacuate
 from soak.fleet import PLAIN_SERVICES, SERVICES, ZONES, AnyWorker, SoakFleet, SoakNode
 from soak.grey_workers import fail_together
-from soak.limited_workers import name_limits
+from soak.limited_workers import announce_limits
 from soak.links import FaultLink, LinkTrouble, Silence
 from soak.picking import between, pick
 from soak.restarts import (
-    SAME_PLACE_SHARE,
+    SAME_ADDRESS_SHARE,
     crash_and_replace,
     crash_and_restart,
     leave,
@@ -78,7 +78,7 @@
             FaultKind.CRASHING_REQUEST: crashing.play,
             FaultKind.EVACUATE_ZONE: lambda fault: evacuate(fleet, fault),
             FaultKind.ENGINES_COLD: lambda fault: turn_cold(fleet, fault),
-            FaultKind.WORKERS_LIMITED: lambda fault: name_limits(fleet, fault),
+            FaultKind.WORKERS_LIMITED: lambda fault: announce_limits(fleet, fault),
         }
 
     async def play(self, schedule: Sequence[Fault]) -> None:
@@ -176,7 +176,7 @@
         node = self._pick_node(fault)
         if node is not None:
             self.floods += 1
-            kind = int(fault.strength * len(FLOODS))
+            kind = int(fault.strength * len(FLOOD_PAYLOADS))
             await flood(node.caller_address, kind, fault.seconds)
 
     async def _store_link(self, fault: Fault) -> None:
@@ -204,7 +204,7 @@
         for part in {part for _, part in targets}:
             self._ledger.disturbances.begin(part)
         silence = tuple(Silence)[int(fault.strength * len(Silence))]
-        count = sum(link.silence_kept(silence) for link, _ in targets)
+        count = sum(link.silence_open_connections(silence) for link, _ in targets)
         for link, _ in targets:
             self._ledger.silent_clients |= link.silent_clients()
         line = self.played.index(str(fault))
@@ -316,7 +316,9 @@
         """Drain a worker and restart it under its id, at the same or another address."""
         worker = self._pick_worker(fault, SERVICES)
         if worker is not None:
-            await restart_planned(self._fleet, worker, keep_link=fault.strength < SAME_PLACE_SHARE)
+            await restart_planned(
+                self._fleet, worker, keep_link=fault.strength < SAME_ADDRESS_SHARE
+            )
 
     async def _worker_starts_again(self, fault: Fault) -> None:
         worker = self._pick_worker(fault, SERVICES)
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -11,10 +11,10 @@
 from soak.request_window import RequestWindow
 from soak.sent_calls import Answer, Run, SentCall
 
-CRASHING = b"crashing request "
+CRASHING_BODY_PREFIX = b"crashing request "
 """Body prefix of a request that crashes the workers that run it."""
 
-CRASHING_KEY = "crashing"
+CRASHING_KEY_PREFIX = "crashing"
 """Prefix of the piece key of a crashing request."""
 
 NOT_RUN_STATUSES = frozenset((503, 429, 408, 421))
@@ -65,7 +65,7 @@
         self._open[part] -= 1
         self._last[part] = time.monotonic()
 
-    def since(self, part: str, moment: float) -> bool:
+    def disturbed_since(self, part: str, moment: float) -> bool:
         """Return whether a part was disturbed at any time after ``moment``."""
         return self._open[part] > 0 or self._last.get(part, float("-inf")) >= moment
 
@@ -88,7 +88,7 @@
         self.planned_only = False
         self.silent_clients: set[tuple[str, int]] = set()
 
-    def note_lag(self, lag: float) -> None:
+    def record_lag(self, lag: float) -> None:
         """Record how late the soak's event loop ran a timer, in seconds."""
         self.loop_lag = max(lag, LAG_DECAY * self.loop_lag)
         self.longest_lag = max(lag, self.longest_lag)
@@ -105,12 +105,14 @@
         """Return whether a node and its path to the store were undisturbed for long enough."""
         moment = since - self.bounds.contact
         parts = (node, f"store of {node}", "store", MACHINE)
-        return not any(self.disturbances.since(part, moment) for part in parts)
+        return not any(self.disturbances.disturbed_since(part, moment) for part in parts)
 
     def undisturbed(self, node: str, since: float) -> bool:
         """Return whether a node, its path to the store and the workers are undisturbed."""
         moment = since - self.bounds.contact
-        return self.in_touch(node, since) and not self.disturbances.since("workers", moment)
+        return self.in_touch(node, since) and not self.disturbances.disturbed_since(
+            "workers", moment
+        )
 
     # Configuration
 
@@ -208,7 +210,7 @@
         """
         if self._link_was_faulty(link) or not self.in_touch(call.node, time.monotonic()):
             return
-        arrived = cold.count(self.bounds.told_cold + self.loop_lag)
+        arrived = cold.count(self.bounds.cold_notice + self.loop_lag)
         if arrived > self.bounds.cold_requests:
             self.violate("cold", f"{worker_id} gets {arrived} requests in a second")
 
@@ -223,7 +225,7 @@
         """Check that connected nodes together stay within a worker's announced limit."""
         if self._link_was_faulty(link) or not self.in_touch(call.node, time.monotonic()):
             return
-        arrived = limit.count(self.bounds.told_limit + self.loop_lag)
+        arrived = limit.count(self.bounds.limit_notice + self.loop_lag)
         if arrived > max_requests:
             self.violate(
                 "limit", f"{worker_id} gets {arrived} requests in a window, not {max_requests}"
@@ -265,12 +267,12 @@
 
     # Callers
 
-    def sent(self, call: SentCall) -> None:
+    def record_sent(self, call: SentCall) -> None:
         """Record a call whose first byte is being sent."""
         call.sent_at = time.monotonic()
         self.calls[call.call_id] = call
 
-    def answered(self, call: SentCall, answer: Answer) -> None:
+    def record_answer(self, call: SentCall, answer: Answer) -> None:
         """Check the response that a caller received."""
         call.answer = answer
         if answer.status and 200 <= answer.status < 300 and answer.complete:
@@ -313,7 +315,7 @@
 
     def _check_not_cut(self, call: SentCall, answer: Answer) -> None:
         """Check that planned work (node, worker and configuration changes) cut no call."""
-        if self.disturbances.since(MACHINE, call.sent_at - self.bounds.contact):
+        if self.disturbances.disturbed_since(MACHINE, call.sent_at - self.bounds.contact):
             return
         spent = answer.at - call.sent_at
         if (answer.complete and answer.status < 500) or answer.status == REFUSED:
--- a/tests/soak/limited_workers.py
+++ b/tests/soak/limited_workers.py
@@ -15,7 +15,7 @@
 """Share of the faults in which every worker of the service is limited."""
 
 
-async def name_limits(fleet: SoakFleet, fault: Fault) -> None:
+async def announce_limits(fleet: SoakFleet, fault: Fault) -> None:
     """Make one worker of a service, or sometimes all, announce a limit for a while."""
     service = SERVICES[int(fault.choice * len(SERVICES))]
     workers = fleet.workers_of([service])
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -129,7 +129,7 @@
         if not self.listening:
             await self.start(int(self.address.rsplit(":", 1)[1]))
 
-    def silence_kept(self, silence: Silence) -> int:
+    def silence_open_connections(self, silence: Silence) -> int:
         """Silence the open connections permanently; return how many are open.
 
         Their bytes are acknowledged and discarded; new connections are forwarded.
@@ -143,7 +143,7 @@
         """Return the client addresses of the permanently silent connections."""
         return {item.client for item in self._passages if item.silent and item.client}
 
-    def longest_unnoticed(self) -> float:
+    def longest_silent_wait(self) -> float:
         """Return the longest time a client has been waiting on a silent connection it used.
 
         Return 0 while the whole link has a fault.
--- a/tests/soak/named_limit.py
+++ b/tests/soak/named_limit.py
@@ -18,6 +18,6 @@
         return {"Server-Limit": f"{self.rate:.2f}"} if self.window.open else {}
 
     @property
-    def most(self) -> float:
+    def max_requests(self) -> float:
         """Return the maximum number of requests allowed within the window."""
         return 1.5 * self.rate * COUNTED_SECONDS + 5
--- a/tests/soak/restarts.py
+++ b/tests/soak/restarts.py
@@ -12,7 +12,7 @@
 CRASHED_ENTRY_SECONDS = 3.0
 """Time after which the entry of a silent worker expires: three of its heartbeats."""
 
-SAME_PLACE_SHARE = 0.7
+SAME_ADDRESS_SHARE = 0.7
 """Share of the planned restarts that reuse the worker's address."""
 
 VALID_ENTRY: dict[str, Any] = {
@@ -50,7 +50,7 @@
 )
 
 
-async def finish_leaving(fleet: SoakFleet, worker: AnyWorker) -> None:
+async def wait_until_left(fleet: SoakFleet, worker: AnyWorker) -> None:
     """Wait for the leaving bound, then until a leaving worker is idle, for at most 12 s."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(fleet.bounds.told_leaving + LEAVING_SLACK_SECONDS)
@@ -68,7 +68,7 @@
         fleet.store.put("servers", worker.worker_id, worker.entry("draining"))
     else:
         fleet.store.remove("servers", worker.worker_id)
-    await finish_leaving(fleet, worker)
+    await wait_until_left(fleet, worker)
     if draining:
         fleet.store.remove("servers", worker.worker_id)
     await fleet.end_worker(worker, keep_link=keep_link)
@@ -91,10 +91,10 @@
     """Drain, stop and restart a worker."""
     fleet.ledger.leaving_since[worker.worker_id] = asyncio.get_running_loop().time()
     fleet.store.put("servers", worker.worker_id, worker.entry("draining"))
-    await finish_leaving(fleet, worker)
+    await wait_until_left(fleet, worker)
     await fleet.end_worker(worker, keep_link=True)
     del fleet.ledger.leaving_since[worker.worker_id]
-    await fleet.start_again(worker, keep_link=keep_link)
+    await fleet.restart_worker(worker, keep_link=keep_link)
 
 
 async def crash_and_restart(fleet: SoakFleet, worker: AnyWorker, seconds: float) -> None:
@@ -108,7 +108,7 @@
         fleet.store.remove("servers", worker.worker_id)
         await asyncio.sleep(seconds - CRASHED_ENTRY_SECONDS)
     worker.link.mend()
-    await fleet.start_again(worker, keep_link=True)
+    await fleet.restart_worker(worker, keep_link=True)
     fleet.ledger.disturbances.end("workers")
 
 
--- a/tests/soak/silence_watch.py
+++ b/tests/soak/silence_watch.py
@@ -22,7 +22,7 @@
         reported: set[str] = set()
         while True:
             for name, link, bound in self._links():
-                waited = link.longest_unnoticed()
+                waited = link.longest_silent_wait()
                 late = waited - bound - self._fleet.ledger.loop_lag
                 if late > 0 and name not in reported and not self._was_disturbed(bound):
                     reported.add(name)
@@ -42,4 +42,4 @@
         """Return whether the machine or any node was disturbed within the bound."""
         since = time.monotonic() - bound
         parts = (MACHINE, *(node.name for node in self._fleet.nodes))
-        return any(self._fleet.ledger.disturbances.since(part, since) for part in parts)
+        return any(self._fleet.ledger.disturbances.disturbed_since(part, since) for part in parts)
--- a/tests/soak/stage_workers.py
+++ b/tests/soak/stage_workers.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from platform_standins import EXPECT, INSTANCE, NOT_RUN, Server
 
-from soak.ledger import CRASHING_KEY, Ledger, SentCall
+from soak.ledger import CRASHING_KEY_PREFIX, Ledger, SentCall
 from soak.links import FaultLink
 from soak.named_limit import NamedLimit
 
@@ -126,7 +126,7 @@
     def _crash_if_requested(self, items: list[dict[str, Any]]) -> None:
         """Crash the worker at the first piece of a crashing request."""
         for item in items:
-            if str(item.get("key", "")).startswith(CRASHING_KEY):
+            if str(item.get("key", "")).startswith(CRASHING_KEY_PREFIX):
                 self.on_crashing(self._ledger.calls[item["id"]])
                 raise ConnectionResetError
 
--- a/tests/soak/test_ledger.py
+++ b/tests/soak/test_ledger.py
@@ -27,7 +27,7 @@
         "1", "once", "node-0", "POST", "/once/x", headers, b"body", "tenant", repeatable, 2.0
     )
     call.events = events
-    ledger.sent(call)
+    ledger.record_sent(call)
     return call
 
 
@@ -47,7 +47,7 @@
 def answer(
     ledger: Ledger, call: SentCall, status: int, body: bytes, headers: Mapping[str, str]
 ) -> None:
-    ledger.answered(call, Answer(status, headers, body, True, time.monotonic()))
+    ledger.record_answer(call, Answer(status, headers, body, True, time.monotonic()))
 
 
 def promises(ledger: Ledger) -> list[str]:
@@ -179,7 +179,7 @@
     ledger.planned_only = True
     call = sent(ledger)
     run(ledger, call)
-    ledger.answered(call, Answer(status, {}, b"", bool(status), time.monotonic()))
+    ledger.record_answer(call, Answer(status, {}, b"", bool(status), time.monotonic()))
     assert promises(ledger) == ["not cut"]
 
 
@@ -187,8 +187,8 @@
     ledger.planned_only = True
     call = sent(ledger)
     run(ledger, call)
-    ledger.note_lag(1.0)
-    ledger.answered(call, Answer(502, {}, b"", True, time.monotonic()))
+    ledger.record_lag(1.0)
+    ledger.record_answer(call, Answer(502, {}, b"", True, time.monotonic()))
     assert promises(ledger) == []
     run(ledger, call)
     assert promises(ledger) == ["at most once"]
@@ -204,7 +204,7 @@
 def test_a_ready_node_that_accepts_no_connection_is_found(ledger: Ledger) -> None:
     watch = AcceptWatch("node-0", "", ledger, lambda: True)
     for moment in range(1, 5):
-        watch.judge(False, moment - 0.5, float(moment))
+        watch.record_attempt(False, moment - 0.5, float(moment))
     assert [item.promise for item in ledger.violations] == ["accepts"]
 
 
@@ -214,9 +214,9 @@
     down = AcceptWatch("node-2", "", ledger, lambda: True)
     ledger.disturbances.begin("node-2")
     for moment in range(1, 9):
-        slow.judge(moment % 3 == 0, moment - 0.5, float(moment))
-        unready.judge(False, moment - 0.5, float(moment))
-        down.judge(False, moment - 0.5, float(moment))
+        slow.record_attempt(moment % 3 == 0, moment - 0.5, float(moment))
+        unready.record_attempt(False, moment - 0.5, float(moment))
+        down.record_attempt(False, moment - 0.5, float(moment))
     assert ledger.violations == []
 
 
@@ -227,5 +227,5 @@
     for port in (5, 6):
         call = sent(ledger)
         call.client = ("127.0.0.1", port)
-        ledger.answered(call, Answer(0, {}, b"", False, call.due_at + 2.0))
+        ledger.record_answer(call, Answer(0, {}, b"", False, call.due_at + 2.0))
     assert promises(ledger) == ["in time"]
--- a/tests/soak/test_links.py
+++ b/tests/soak/test_links.py
@@ -59,10 +59,10 @@
     async with linked() as (echo, link):
         kept = await connect(link)
         assert await ask(kept, b"a") == b"a"
-        assert link.silence_kept(silence) == 1
-        assert link.longest_unnoticed() == 0.0
+        assert link.silence_open_connections(silence) == 1
+        assert link.longest_silent_wait() == 0.0
         kept[1].write(b"b")
-        await until(lambda: link.longest_unnoticed() > 0.0)
+        await until(lambda: link.longest_silent_wait() > 0.0)
         new = await connect(link)
         assert await ask(new, b"c") == b"c"
         received = silence is Silence.FROM_TARGET
@@ -72,7 +72,7 @@
         assert await ask(new, b"d") == b"d"
         assert not answer.done()
         kept[1].close()
-        await until(lambda: link.longest_unnoticed() == 0.0)
+        await until(lambda: link.longest_silent_wait() == 0.0)
         if received:
             await until(lambda: echo.open == 1)
         else:
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -9,7 +9,7 @@
 from platform_standins import ATTEMPT, EXPECT, INSTANCE, NOT_RUN, SEAL, Server
 
 from soak.ledger import (
-    CRASHING,
+    CRASHING_BODY_PREFIX,
     Ledger,
     Run,
     SentCall,
@@ -96,7 +96,7 @@
             return web.Response(status=400)
         self._ledger.check_evacuated(begun[0], self.worker_id, self.zone, self.link)
         self._check_limits(begun[0])
-        if body.startswith(CRASHING) and not begun[0].stage_runs:
+        if body.startswith(CRASHING_BODY_PREFIX) and not begun[0].stage_runs:
             begun[1].broken_off = True
             self.on_crashing(begun[0])
             raise ConnectionResetError
@@ -110,7 +110,7 @@
         assert self.link is not None
         self._ledger.check_cold(call, self.worker_id, self.cold, self.link)
         limit = self.limit
-        self._ledger.check_limit(call, self.worker_id, limit.window, limit.most, self.link)
+        self._ledger.check_limit(call, self.worker_id, limit.window, limit.max_requests, self.link)
 
     def _own(self, request: web.BaseRequest) -> dict[str, str]:
         return {**_own(request), **self.limit.headers}
