--- a/src/corkcrank/gateway/pipeline_handler.py
+++ b/src/corkcrank/gateway/pipeline_handler.py
@@ -10,7 +10,7 @@
 from corkcrank.contracts.settings import Settings
 from corkcrank.gateway import metrics
 from corkcrank.gateway.access_control import AccessControl, Caller, Served
-from corkcrank.gateway.admission import StageForecast, ServiceTimeEstimate, seconds_until_feasible
+from corkcrank.gateway.admission import ServiceTimeEstimate, StageForecast, seconds_until_feasible
 from corkcrank.gateway.dispatch import Dispatcher
 from corkcrank.gateway.pipeline_run import PipelineRun, StageAbandonedError, stage_key
 from corkcrank.gateway.request_reader import (
--- a/src/corkcrank/gateway/pipeline_run.py
+++ b/src/corkcrank/gateway/pipeline_run.py
@@ -27,12 +27,12 @@
 from corkcrank.gateway.decode_pace import DecodePace
 from corkcrank.gateway.dispatch import Dispatcher
 from corkcrank.gateway.stage_process import (
+    AbandonStage,
     AttemptAnswered,
     AttemptFailed,
     AttemptNotSent,
     AttemptTooLate,
     FinishStage,
-    AbandonStage,
     IgnoreEvent,
     SendAttempt,
     StageEvent,
@@ -94,7 +94,7 @@
     work_started: bool = False
 
     async def run(self) -> None:
-        """Run every stage; raises :class:`StageGivenUpError`."""
+        """Run every stage; raises :class:`StageAbandonedError`."""
         question = self.text
         for number, stage in enumerate(self.pipeline.stages):
             started = clock.now()
--- a/tests/core/test_stream_and_stage.py
+++ b/tests/core/test_stream_and_stage.py
@@ -12,11 +12,11 @@
 from corkcrank.gateway.answer_checks import matches_stage_call
 from corkcrank.gateway.retry import RetryBudget
 from corkcrank.gateway.stage_process import (
+    AbandonStage,
     AttemptAnswered,
     AttemptFailed,
     AttemptNotSent,
     FinishStage,
-    AbandonStage,
     IgnoreEvent,
     SendAttempt,
     StageEvent,
