--- a/src/corkcrank/reports/held.py
+++ b/src/corkcrank/reports/held.py
@@ -52,7 +52,7 @@
     def buckets(self) -> list[int]:
         """Return the number of calls in each bucket of ``HELD_BOUNDS``; the last has no bound.
 
-        >>> HeldCalls("r", "0/0", Loss.FULL, [0.0, 0.019, 0.02, 1.5, 60.0]).buckets
+        >>> UnservedCalls("r", "0/0", Loss.FULL, [0.0, 0.019, 0.02, 1.5, 60.0]).buckets
         [2, 1, 0, 0, 1, 1]
         """
         counts = [0] * (len(HELD_BOUNDS) + 1)
--- a/src/corkcrank/reports/losses_table.py
+++ b/src/corkcrank/reports/losses_table.py
@@ -4,9 +4,9 @@
 from statistics import median
 
 from corkcrank.reports.call_story import Loss, Step
-from corkcrank.reports.held import HELD_BOUNDS, UnservedCalls, HeldReport
+from corkcrank.reports.held import HELD_BOUNDS, HeldReport, UnservedCalls
 from corkcrank.reports.losses import LossReport, RouteLosses, WindowLosses
-from corkcrank.reports.sent_back import LOAD_BOUNDS, RetryOutcome, RefusedGroup, RetryReport
+from corkcrank.reports.sent_back import LOAD_BOUNDS, RefusedGroup, RetryOutcome, RetryReport
 from corkcrank.reports.stage_work import WorkerTime
 from corkcrank.reports.work_for_nobody import WastedWork
 
--- a/src/corkcrank/reports/sent_back.py
+++ b/src/corkcrank/reports/sent_back.py
@@ -57,7 +57,7 @@
 class RefusedGroup:
     """Calls refused with a retry delay, for one cause and at one load band.
 
-    ``returns`` counts the retries at the scheduled time by their outcome, and ``sooner`` the
+    ``returns`` counts the retries at the scheduled time by their outcome, and ``early`` the
     retries before it. ``band`` is the index of the band in ``LOAD_BOUNDS``.
     """
 
@@ -73,7 +73,7 @@
     """Outcomes of retries after a refusal, and the calls that could not be matched.
 
     ``unmatched`` counts the retries that match no refusal, out of ``returning`` retries;
-    ``untold`` counts refusals without a known retry delay.
+    ``without_retry_delay`` counts refusals without a known retry delay.
     """
 
     groups: list[RefusedGroup]
--- a/src/corkcrank/reports/stops.py
+++ b/src/corkcrank/reports/stops.py
@@ -50,7 +50,7 @@
 
     >>> ended = {"event": "Call: ended.", "outcome": "DRAINING", "after_signal": 3.1}
     >>> report = report_stops([{"event": "Process: stopping."}, ended])
-    >>> report.stops, report.of(Read.LATE, End.REFUSED)
+    >>> report.stops, report.count(Read.LATE, End.REFUSED)
     (1, 1)
     """
     report = StopReport()
