--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -205,8 +205,7 @@
     ) -> None:
         """Check that connected nodes together stay within a cold worker's request rate.
 
-        Only the worker's entry in the store says that it is cold: a node whose store
-        connections are silent cannot know it.
+        Only its store entry says that it is cold: a node with silent store connections can't know.
         """
         if self._link_was_faulty(link) or not self.in_touch(call.node, time.monotonic()):
             return
@@ -219,17 +218,15 @@
         call: SentCall,
         worker_id: str,
         limit: RequestWindow,
-        max_requests: float,
+        cap: float,
         link: FaultLink,
     ) -> None:
         """Check that connected nodes together stay within a worker's announced limit."""
         if self._link_was_faulty(link) or not self.in_touch(call.node, time.monotonic()):
             return
         arrived = limit.count(self.bounds.limit_notice + self.loop_lag)
-        if arrived > max_requests:
-            self.violate(
-                "limit", f"{worker_id} gets {arrived} requests in a window, not {max_requests}"
-            )
+        if arrived > cap:
+            self.violate("limit", f"{worker_id} gets {arrived} requests in a window, not {cap}")
 
     def _link_was_faulty(self, link: FaultLink | None) -> bool:
         """Return whether a fault of the worker's link may have delayed a call sent earlier."""
