--- a/src/corkcrank/machines/fleet.py
+++ b/src/corkcrank/machines/fleet.py
@@ -27,7 +27,8 @@
 
 MAX_OWNER_BYTES_PER_SECOND = 60_000.0
 """Most bytes of heartbeats sent by a member that owns queues or engines of its zone. Other members
-decide by the owners' reports, and owners are few. A fortieth of a link of 20 Mbit/s."""
+choose workers and admit calls by the owners' reports, and owners are few. A fortieth of a link of
+20 Mbit/s."""
 
 INITIAL_HEARTBEAT_BYTES = 250.0
 """Heartbeat length that is assumed before the first one is sent."""
@@ -52,8 +53,8 @@
 class Fleet:
     """Every gateway that this one knows.
 
-    ``is_owner`` is set while this gateway owns queues or engines of its zone. Other members then
-    decide by its reports.
+    ``is_owner`` is set while this gateway owns queues or engines of its zone. It may then
+    send heartbeats more often, since other members choose workers and admit calls by its reports.
     """
 
     def __init__(
--- a/src/corkcrank/machines/fleet_view.py
+++ b/src/corkcrank/machines/fleet_view.py
@@ -1,8 +1,8 @@
 """Summarizes the members' heartbeats: live members, serving members by zone, and backlogs.
 
 A view is valid until a member joins, leaves, is suspected or sends heartbeats again, and not
-for a fixed time: in a fleet of 195 where nothing changes, a query costs the same as in one
-of six. The backlogs are summed as heartbeats arrive.
+for a fixed time. While nothing changes, the cost of a query does not depend on the fleet's size:
+it is the same with 195 members as with six. The backlogs are summed as heartbeats arrive.
 """
 
 from collections.abc import Iterable
@@ -69,7 +69,7 @@
 
     ``live`` holds the other members that are not suspected, by name. ``serving`` lists the
     serving members by zone, this one included, and ``all_serving`` lists all of them.
-    ``strengths`` are in processors, by name.
+    ``strengths`` are in standard processors, by name.
     """
 
     valid_until: float
@@ -101,7 +101,7 @@
         self.valid_until = min(self.valid_until, member.suspected_at)
 
     def add_serving_member(self, name: str, zone: str, strength: float) -> None:
-        """Add a serving member; ``strength`` is in processors, 0 if unknown."""
+        """Add a serving member; ``strength`` is in standard processors, 0 if unknown."""
         self.serving.setdefault(zone, []).append(name)
         self.all_serving.append(name)
         self.strengths[name] = strength
--- a/src/corkcrank/machines/heartbeat.py
+++ b/src/corkcrank/machines/heartbeat.py
@@ -76,11 +76,12 @@
     """State that a member sends to the others; ``address`` is where it accepts peers' calls.
 
     The contacts are the newest answers of the store about each table that the sender knows.
-    ``probe`` asks the receiver for its heartbeat. ``strength`` is the processor time that the
-    sender may use, in usual processors; 0 if unknown. ``outcomes`` are those of its calls at
-    workers that failed some calls. ``trials`` are the attempts of requests on probation.
-    ``zone_states`` lists the zones that were ever evacuated. ``limits`` are the rates that
-    workers state. ``crashes`` are the workers that crashed, each with all requests it had.
+    ``probe`` asks the receiver for its heartbeat. ``strength`` is the processor capacity that
+    the sender may use, in standard processors of the platform; 0 if unknown. ``outcomes`` are
+    those of its calls at workers that failed some calls. ``trials`` are the attempts of requests
+    on probation. ``zone_states`` lists the zones that were ever evacuated. ``limits`` are the
+    rates that workers state. ``crashes`` are the workers that crashed, each with all requests it
+    had.
     """
 
     name: str
--- a/src/corkcrank/machines/member.py
+++ b/src/corkcrank/machines/member.py
@@ -36,7 +36,7 @@
 from corkcrank.zones.zone_state import MIN_HEARTBEAT_INTERVAL_SECONDS
 
 REFRESH_SECONDS = 1.0
-"""Interval between reads of the configuration's head."""
+"""Interval between reads of the newest configuration's version number."""
 
 MAX_PEERS_ASKED = 2
 """Most peers asked one after the other if the holder or the table does not answer."""
@@ -105,7 +105,7 @@
         return lease.address if lease is not None and zone == self.view.zone else Address("")
 
     async def refresh(self) -> None:
-        """Read the configuration's head and the zone's lease."""
+        """Read the newest configuration's version number and the zone's lease from the table."""
         keys = (table_keys.CONFIGURATION_HEAD_KEY, table_keys.zone_lease_key(self.view.zone))
         asked_at = clock.now()
         outcome = await self.table.read(keys)
@@ -205,8 +205,8 @@
         )
         if self.view.apply_digest(enclosed, clock.now()):
             self.on_digest(enclosed)
-            # The holder also has a position in the tree. The members below that position get
-            # the digest when it comes back to the holder.
+            # The holder sends as the root of the relay tree, but is also one of the members in it.
+            # The members below it there get the digest when the relay reaches the holder again.
             self._spawn(self._relay.send_to_children(digest, HOLDER_POSITION))
 
     async def _pull_digest_if_stale(self) -> None:
--- a/src/corkcrank/machines/orders.py
+++ b/src/corkcrank/machines/orders.py
@@ -1,9 +1,9 @@
 """Reconciliation of model placements: computes the fenced orders from the loaded models.
 
 Orders state the wanted models, so sending one twice is harmless. A worker that checks fences
-rejects an order with a lower one. For a worker that does not, the sender checks its lease again
-just before a send of bounded duration, and the next holder waits for the end of the lease and the
-maximum transit time of an order.
+rejects an order whose fence number is lower than that of an order accepted before. For a worker
+that does not, the sender checks its lease again just before a send of bounded duration, and the
+next holder waits for the end of the lease and the maximum transit time of an order.
 """
 
 from collections.abc import Iterable
--- a/src/corkcrank/machines/owner_use.py
+++ b/src/corkcrank/machines/owner_use.py
@@ -1,4 +1,7 @@
-"""Tracks whether a member's queues or grants were used recently, so that others decide by them."""
+"""Tracks whether a gateway's queues or grants were used recently.
+
+Other gateways then choose workers and admit calls by its reports, so it may send them more often.
+"""
 
 OWNER_USE_SECONDS = 5.0
 """Time after its last use for which a gateway counts as an owner of queues or engines. It spans a
--- a/src/corkcrank/machines/store_contact.py
+++ b/src/corkcrank/machines/store_contact.py
@@ -2,7 +2,8 @@
 
 Only a few members ask the store. Every member reports the newest answer that it knows, with the
 time on the store's monotonic clock, so that an answer counts once however often it is forwarded.
-An age alone would lose the transit time at each hop and stop rising.
+If they reported only its age, each hop would omit the transit time, and the age of an answer that
+circulates among members would stop rising.
 """
 
 from dataclasses import dataclass
--- a/src/corkcrank/machines/store_followers.py
+++ b/src/corkcrank/machines/store_followers.py
@@ -17,11 +17,12 @@
 """Minimum number of gateways that follow the store, if the fleet has that many."""
 
 STALE_SHARE = 0.6
-"""Time after which an answer of the store counts as stale, as a share of the shortest bound."""
+"""Time after which an answer of the store counts as stale, as a share of the shortest time within
+which an update must take effect."""
 
 LATE_STAND_IN_STALE_FACTOR = 1.3
-"""Factor on the stale time of gateways that are not the next in the order: keeps all gateways
-from starting to follow the store at once."""
+"""Factor on the stale time for gateways that are neither followers nor next in the order after
+them. They start to follow the store later than those next ones, so that not all start at once."""
 
 LONG_POLL_SHARE = 0.5
 """Maximum duration of a long poll as a share of the stale time: an empty answer confirms the known
@@ -29,7 +30,8 @@
 
 CHANGE_BATCHING_SHARE = 0.1
 """Time that a follower waits after changes before it asks for more, as a share of the shortest
-bound: workers that start, warm up or leave together change one after the other."""
+time within which an update must take effect: workers that start, warm up or leave together change
+one after the other."""
 
 RETRY_PAUSE_RANGE_SECONDS = (0.1, 0.8)
 """Minimum and maximum pause of a follower after a failed call; doubles with each failure."""
--- a/src/corkcrank/machines/store_mirror.py
+++ b/src/corkcrank/machines/store_mirror.py
@@ -35,8 +35,7 @@
 an update bound of 2 s."""
 
 RETRY_PAUSE_JITTER = (0.5, 1.0)
-"""Range of the random share of the maximum pause after a failed call: spreads the retries of the
-gateways."""
+"""Range of the random share of the maximum pause after a failed call: spreads gateways' retries."""
 
 
 class StoreMirror:
@@ -213,9 +212,8 @@
     def _apply_worker_rows(self, answer: StoreRows, *, whole: bool) -> None:
         """Apply rows of the store, and queue them for the reports to peers.
 
-        A whole list does not contain the rows that were removed earlier. Its batch therefore
-        covers no revision before the list: a peer that took it for all changes would keep the
-        removed workers permanently.
+        A whole list omits the rows removed earlier, so its batch covers no revision before the
+        list: a peer that took it for all changes would keep the removed workers permanently.
         """
         now = clock.now()
         changes = self.entry_reader.changes(answer, self.workers.revision)
--- a/src/corkcrank/machines/warming_workers.py
+++ b/src/corkcrank/machines/warming_workers.py
@@ -38,7 +38,10 @@
         self._until = max(self._until, now + MAX_START_SECONDS)
 
     def any_warming(self, now: float) -> bool:
-        """Return whether any worker may be warming up; during most of a day none is."""
+        """Return whether any worker may be warming up.
+
+        Callers check this first, since no worker is warming up during most of a day.
+        """
         return now < self._until
 
     def is_warming(self, record: WorkerRecord, start_seconds: float, now: float) -> bool:
--- a/src/corkcrank/node/membership/heartbeats.py
+++ b/src/corkcrank/node/membership/heartbeats.py
@@ -227,6 +227,7 @@
         return newest_contact(own, self._fleet.store_contact(table)).to_report(now)
 
     def _receive(self, data: bytes) -> None:
+        """Apply a received heartbeat, and answer a probe; ignore unreadable datagrams."""
         heartbeat = decode_heartbeat(data)
         if heartbeat is None:
             return
--- a/src/corkcrank/node/membership/peer_pulls.py
+++ b/src/corkcrank/node/membership/peer_pulls.py
@@ -54,20 +54,20 @@
         self._crash_watch = crash_watch
         self._log = log
         self._behind_since: dict[StoreTable, float] = {}
-        self._behind = asyncio.Event()
+        self._pull_requested = asyncio.Event()
         self._members_asked_for_crashes: set[str] = set()
         self.on_adopted: Callable[[], None] = lambda: None
 
     def request_pull(self) -> None:
         """Request an immediate check for newer state at a peer."""
-        self._behind.set()
+        self._pull_requested.set()
 
     async def pull_periodically(self) -> None:
         """Pull newer state from peers until cancelled."""
         while True:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._behind.wait(), PULL_INTERVAL_SECONDS)
-            self._behind.clear()
+                await asyncio.wait_for(self._pull_requested.wait(), PULL_INTERVAL_SECONDS)
+            self._pull_requested.clear()
             now = clock.now()
             await self._pull_configuration(now)
             await self._pull_workers(now)
--- a/src/corkcrank/node/membership/quarantine_rows.py
+++ b/src/corkcrank/node/membership/quarantine_rows.py
@@ -51,7 +51,7 @@
 class _CrashRow(msgspec.Struct, frozen=True):
     """A worker's crash; ``at`` is on the store's steady clock, in seconds.
 
-    Requests that have completed successfully since are left out.
+    ``suspects`` leaves out the requests that have completed successfully since the crash.
     """
 
     worker_id: str
@@ -64,7 +64,8 @@
     """The value of a row; its key is the request's fingerprint.
 
     Each crash is stored with all its suspects: without them a gateway that reads the row after a
-    start would blame this request for crashes that the other requests explain as well.
+    start would attribute the crashes to this request alone, although another request that was in
+    progress may have caused them.
     """
 
     ends: tuple[_CrashRow, ...]
--- a/src/corkcrank/node/peers/peer_protocol.py
+++ b/src/corkcrank/node/peers/peer_protocol.py
@@ -43,9 +43,9 @@
     """Pieces of one stage of one call, for one stage worker.
 
     ``following`` are the pieces of its later stages, sent with the stage that they wait for.
-    ``begins`` says that these are the call's first pieces, so that all of them count as newly
-    requested. ``alone`` says that a worker crashed while it processed the call's request, so that
-    its pieces share no batch with those of other calls.
+    ``begins`` says that these are the first pieces that the call requests: the owner then counts
+    them and the ``following`` ones as newly requested. ``alone`` says that a worker crashed while
+    it processed the call's request, so that its pieces share no batch with those of other calls.
     ``start_by`` and ``remaining`` are seconds from the time of sending, since clocks of
     machines are not compared.
     ``last_reads`` are results that only these pieces read, by the worker that holds them.
@@ -128,8 +128,8 @@
 
     ``workers`` are the candidates, the best first. ``limits`` are those that the requester has
     received from them, so that the owner knows a limit as soon as any of its requesters does.
-    ``begins`` says that the call only begins: its inputs are computed first, and it requests
-    another grant before it is sent.
+    ``begins`` says that the grant only allows the call to start its stages, which compute its
+    inputs; another grant is requested before the call is sent to a worker.
     """
 
     call_id: str
--- a/src/corkcrank/node/stages/input_releases.py
+++ b/src/corkcrank/node/stages/input_releases.py
@@ -1,8 +1,8 @@
 """Frees the input results of pieces as soon as a worker has read them.
 
 A worker fetches the inputs of its pieces when it is ready to run them, before the work begins.
-The work then takes some three tenths of a second, in which the inputs are no longer needed. Freeing
-them early matters because result memory limits a stage with large results in a burst.
+It was observed to run a batch for about 0.3 s after that, and does not need the inputs meanwhile.
+Freeing them early matters because result memory limits a stage with large results in a burst.
 """
 
 import asyncio
--- a/src/corkcrank/node/stages/stage_owner.py
+++ b/src/corkcrank/node/stages/stage_owner.py
@@ -50,8 +50,8 @@
     Accepts work even if this gateway does not consider itself the owner: membership views differ
     for a short time, and a worker's own queue can serve two owners.
 
-    ``on_release`` is called with a step, ``queued`` or ``stages``, and the seconds since a call
-    left it; ``on_outcome`` is called with a worker and the outcome of a call to it.
+    ``on_release`` is called with an abandoned call's step, ``queued`` or ``stages``, and the
+    seconds until no worker ran it; ``on_outcome`` with a worker and the outcome of a call to it.
     """
 
     def __init__(
@@ -197,7 +197,7 @@
         queues = [item.queue for item in entries]
         now = clock.now()
         if all(any(stage_item in queue.queued() for queue in queues) for stage_item in stage_items):
-            self.on_release("queued", 0.0)
+            self.on_release("queued", 0.0)  # 0 s: all pieces wait, so no worker has to stop
         for stage_item, future in zip(stage_items, futures, strict=True):
             for queue in queues:
                 queue.withdraw(stage_item, now)
--- a/tests/scheduling/test_store_followers.py
+++ b/tests/scheduling/test_store_followers.py
@@ -107,7 +107,7 @@
     assert calls <= 0.75 * members / RETRY_PAUSE_RANGE_SECONDS[1] or members == 6
 
 
-def test_a_small_fleet_retries_soon() -> None:
+def test_a_small_fleet_retries_soon_and_soonest_after_the_first_failure() -> None:
     for election in elections(["a"] * 6, age=9.0):
         assert [election.max_retry_pause_seconds(failures, 10.1) for failures in (1, 2, 9)] == [
             0.2,
