--- a/src/corkcrank/contracts/opaque_call.py
+++ b/src/corkcrank/contracts/opaque_call.py
@@ -75,6 +75,9 @@
 class OpaqueCall:
     """One request of one caller in progress; times are of :mod:`clock`.
 
+    Work on the call ends at ``end_at``: when the caller's budget or the route's timeout is over,
+    or at the end of a drain in which the call was read. ``caller_end_at`` is when the caller's
+    budget alone is over.
     ``first_byte_at`` is the time at which the answer's first byte was sent to the caller.
     ``answer_begun`` tells whether the answer's head was sent. ``may_have_run`` tells whether
     a worker may have started the request itself; running its stages does not count.
--- a/src/corkcrank/contracts/urgency.py
+++ b/src/corkcrank/contracts/urgency.py
@@ -7,7 +7,8 @@
 
 
 ROUTE_RANK_DELAY_SECONDS = 0.25
-"""Seconds added to the due time of an admitted call for each rank of its route."""
+"""Seconds added to the due time of an admitted call for each rank of its route, at stages that
+read results of an earlier stage (downstream stages)."""
 
 
 class Urgency(msgspec.Struct, frozen=True, order=True):
--- a/src/corkcrank/contracts/worker_records.py
+++ b/src/corkcrank/contracts/worker_records.py
@@ -63,7 +63,7 @@
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the zones whose workers may receive nothing."""
+        """Return the evacuated zones: nothing may be sent to their workers."""
         return self._evacuated
 
     @evacuated.setter
--- a/src/corkcrank/contracts/zone_evacuations.py
+++ b/src/corkcrank/contracts/zone_evacuations.py
@@ -75,7 +75,7 @@
         return known.revision if known is not None else 0
 
     def _store_state(self, state: ZoneState) -> list[ZoneState]:
-        """Store a state; return it in a list if it changed whether the zone is evacuated."""
+        """Store a state; return ``[state]`` if it evacuates or restores its zone, else ``[]``."""
         known = self._states.get(state.zone)
         self._states[state.zone] = state
         was_evacuated = known is not None and known.evacuated
--- a/src/corkcrank/links/peer_codec.py
+++ b/src/corkcrank/links/peer_codec.py
@@ -169,7 +169,11 @@
 
 
 def encode_digest(digest: ZoneDigest, tables: KnownTables, enclosures: Enclosures) -> bytes:
-    """Return the packed form of a digest; its loads refer to the directory in ``tables``."""
+    """Return the packed form of a digest.
+
+    Each load identifies its worker by an index into the directory in ``tables``. ``enclosures``
+    selects which tables are sent along.
+    """
     message = _SCHEMA.ZoneDigest.new_message(
         zone=digest.zone,
         fence=digest.fence,
@@ -190,6 +194,11 @@
 
 
 def _fill_loads(message: Any, digest: ZoneDigest, directory: Directory, names: list[str]) -> None:
+    """Write the loads of a digest to its message.
+
+    Workers that are not in ``directory`` are left out. A worker's models are a bit mask of 16
+    bits over ``names``; a model that is not among these 16 names is left out.
+    """
     index = {entry.worker: number for number, entry in enumerate(directory.workers)}
     known = [load for load in digest.loads if load.worker in index]
     bits = {name: 1 << number for number, name in enumerate(names)}
--- a/src/corkcrank/links/platform_ports.py
+++ b/src/corkcrank/links/platform_ports.py
@@ -138,7 +138,7 @@
         """Return the headers of a call to a stage worker."""
 
     def encode_run(self, pieces: Sequence[PieceOrder]) -> bytes:
-        """Return the body of a request to run pieces."""
+        """Return the body of a request to run pieces, the smallest units of a stage's work."""
 
     def decode_run(self, body: bytes, count: int) -> list[PieceResult] | None:
         """Return the results in the order of the request, or ``None`` if malformed."""
@@ -166,7 +166,8 @@
 class StoreRows:
     """Rows, or changes of rows, as of ``revision``.
 
-    ``store_time`` is the time of the answer on the store's monotonic clock, in seconds.
+    ``store_time`` is the time of the answer on the store's own clock, which never runs backwards,
+    in seconds.
     ``unreadable_keys`` lists the errors of rows whose key cannot be decoded.
     """
 
@@ -232,7 +233,10 @@
         """Return the configuration among rows, ``None`` if there is none, or what is wrong."""
 
     def zone_states(self, rows: Sequence[StoreRow]) -> tuple[ZoneState, ...]:
-        """Return the zones that rows evacuate or restore, with the last state of each."""
+        """Return the last state of each zone that has an evacuation row among ``rows``.
+
+        A row that exists evacuates its zone; a row that was removed restores it.
+        """
 
     def worker(self, row: StoreRow) -> WorkerRecord | Unreadable | None:
         """Return the worker of a row, ``None`` if it was removed, or why it is unreadable."""
--- a/src/corkcrank/links/unreadable_documents.py
+++ b/src/corkcrank/links/unreadable_documents.py
@@ -25,4 +25,4 @@
 
 
 def ignore_unreadable(document: UnreadableDocument) -> None:
-    """Ignores the document."""
+    """Ignore an unreadable document; the listener that is used until another one is set."""
--- a/src/corkcrank/node/callers/caller_listener.py
+++ b/src/corkcrank/node/callers/caller_listener.py
@@ -72,7 +72,10 @@
         """Record that accepting has been blocked for longer than the limit."""
 
     def record_accepting(self, state: ListenerState) -> None:
-        """Record that accepting works again; called while the state still has the block's start."""
+        """Record that accepting works again.
+
+        ``state`` still holds the start of the block, from which its duration is computed.
+        """
 
 
 class CallerListener:
--- a/src/corkcrank/node/callers/drain.py
+++ b/src/corkcrank/node/callers/drain.py
@@ -37,11 +37,13 @@
 """Part of the grace period that is reserved for closing down."""
 
 ANSWER_RESERVE_SECONDS = 0.2
-"""Part of the drain that is reserved for writing responses to unanswered calls: 4 checks."""
+"""Part of the drain that is reserved for writing responses to unanswered calls: 4 intervals of
+the drain's check, ``CHECK_INTERVAL_SECONDS``."""
 
 PIECES_RESERVE_SECONDS = 0.8
-"""Time before the end of the drain after which other gateways' pieces are no longer queued
-here, so that calls in progress can end: about the duration of two calls."""
+"""Time before the end of the drain at which this gateway stops queueing pieces (the units of
+stage work) of other gateways, so that the requests in progress at stage workers can end: about
+the duration of two such requests."""
 
 CHECK_INTERVAL_SECONDS = 0.05
 """Interval of the check whether a start or a drain is complete."""
@@ -95,10 +97,10 @@
 
     @property
     def busy(self) -> bool:
-        """Return whether any of their pieces is waiting or running."""
+        """Return whether any piece is queued or running."""
 
     def refuse_pieces(self) -> None:
-        """Return the waiting pieces to their gateways, and refuse new ones."""
+        """Refuse queued and later pieces; the gateways that sent them receive the refusals."""
 
 
 class CallRun(Protocol[Result]):
@@ -115,7 +117,10 @@
         """Process the call and return the result, usually the response."""
 
     def fits_before_stop(self) -> bool:
-        """Return whether the call may still end before the end of a stop in progress."""
+        """Return whether a stop in progress lets the call run until ``DrainSchedule.answer_by``.
+
+        If not, the call is abandoned at once, because it is not expected to end before the stop.
+        """
 
     def answer_at_stop(self) -> CallAnswer:
         """Return the response that is sent if a stop abandons :meth:`run`."""
--- a/src/corkcrank/node/callers/listener_report.py
+++ b/src/corkcrank/node/callers/listener_report.py
@@ -37,7 +37,10 @@
         )
 
     def record_accepting(self, state: ListenerState) -> None:
-        """Record that accepting works again; called while the state still has the block's start."""
+        """Record that accepting works again.
+
+        ``state`` still holds the start of the block, from which its duration is computed.
+        """
         self._log.write(
             LogEvent.READY,
             cause=state.blocked_by,
--- a/src/corkcrank/node/calls/plain_run.py
+++ b/src/corkcrank/node/calls/plain_run.py
@@ -47,7 +47,10 @@
         return False
 
     def fits_before_stop(self) -> bool:
-        """Return true: the usual time was checked when the call began."""
+        """Return true: :meth:`run` compared the usual time with the time left when it began.
+
+        A call that began before the stop signal is not compared.
+        """
         return True
 
     def answer_at_stop(self) -> web.StreamResponse | Refusal:
@@ -175,7 +178,10 @@
         return min(left, max(MIN_SILENCE_SECONDS, SILENCE_FACTOR * usual))
 
     def _may_try_another(self, under_way: int = 0) -> bool:
-        """Return whether another worker may be tried; ``under_way`` attempts are unrecorded."""
+        """Return whether another worker may be tried.
+
+        ``under_way`` is the number of attempts in progress that ``workers_tried`` does not list.
+        """
         call = self._call
         attempts = len(call.workers_tried) + under_way
         return (
--- a/src/corkcrank/node/calls/services.py
+++ b/src/corkcrank/node/calls/services.py
@@ -164,5 +164,8 @@
         return self.budget(service).remaining(now, self.fleet.share_member_count()) >= 1.0
 
     def try_spend_repeat(self, service: str) -> bool:
-        """Spend one repeat of the fleet's budget, if this gateway's share allows it."""
+        """Spend one repeat if this gateway's share of the fleet's retry budget allows it.
+
+        Returns whether it was spent.
+        """
         return self.budget(service).try_spend(clock.now(), self.fleet.share_member_count())
--- a/src/corkcrank/node/ingress/call_handler.py
+++ b/src/corkcrank/node/ingress/call_handler.py
@@ -143,7 +143,10 @@
         return CUT_OUTCOME if self._services.closing_connections else LEFT_OUTCOME
 
     def _record_caller_left(self, call: OpaqueCall, request: web.BaseRequest) -> None:
-        """Record how long work continued after a caller left; the owner records that of stages."""
+        """Record how long this gateway worked for a caller that had left.
+
+        The time of a call that was waiting for its stages is recorded by the owner of their queues.
+        """
         if call.step is not CallStep.STAGES:
             seconds = seconds_since_close(request)
             self._services.metrics.record_release(call.step.value, seconds)
@@ -238,6 +241,11 @@
     route: OpaqueRoute,
     tenant: KeyedTenant | None,
 ) -> OpaqueCall:
+    """Return the call of a request; its body is forwarded without being parsed.
+
+    ``end_at``, the end of work on the call, applies the caller's budget and the route's timeout;
+    ``caller_end_at``, the end of the caller's wait, only the budget.
+    """
     budget = envelope.budget_seconds
     caller_seconds = DEFAULT_BUDGET_SECONDS if budget is None else budget
     return OpaqueCall(
@@ -295,7 +303,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _BodyRead:
-    """Run that reads a request's body; a stop of the gateway does not wait for it."""
+    """Run that reads a request's body; a stop abandons it if it is incomplete at ``answer_by``."""
 
     request: web.BaseRequest
     limits: RequestLimits
@@ -306,7 +314,7 @@
         return await _read_body(self.request, self.limits)
 
     def fits_before_stop(self) -> bool:
-        """Return true: the remaining size of the body is unknown."""
+        """Return true: the read may continue, since the remaining size of the body is unknown."""
         return True
 
     def answer_at_stop(self) -> Refusal:
--- a/src/corkcrank/node/process/node.py
+++ b/src/corkcrank/node/process/node.py
@@ -48,8 +48,8 @@
 from corkcrank.scheduling.worker_choice import WorkerStatisticsTable
 
 MAX_RELEASE_WAIT_SECONDS = 0.1
-"""Maximum time at a stop to send workers the release of results. With the time that servers
-take to close, it stays below the part of the grace period that a drain reserves."""
+"""Maximum wait at a stop for messages that free results of ended calls. With the time that
+servers take to close, it stays below the part of the grace period that a drain reserves."""
 
 
 class Node:
@@ -247,7 +247,7 @@
         await self._drain(now if signalled_at is None else signalled_at)
         self.services.closing_connections = True
         await asyncio.gather(self.callers.stop(), self._peer_server.stop())
-        await self._send_pending_releases()
+        await self._wait_for_pending_releases()
         await self.stage_owner.close()
         await self.crash_watch.close()
         await self._cancel_loops()
@@ -259,11 +259,11 @@
         self._log.write(LogEvent.STOPPED)
         self._log.flush()
 
-    async def _send_pending_releases(self) -> None:
-        """Send workers the release of ended calls' results before connections close.
+    async def _wait_for_pending_releases(self) -> None:
+        """Wait a limited time for messages in flight that free the results of ended calls.
 
-        Otherwise those results use result memory for seconds that the next owner needs, and
-        tasks fail on closed sessions.
+        If connections closed before, workers would keep these results for seconds, in result
+        memory that the next owner needs, and the sending tasks would fail on closed sessions.
         """
         await asyncio.gather(
             self.services.dispatch.owner_client.wait_for_messages(MAX_RELEASE_WAIT_SECONDS),
--- a/src/corkcrank/node/process/state_collector.py
+++ b/src/corkcrank/node/process/state_collector.py
@@ -101,6 +101,7 @@
         return family
 
     def _limited_workers(self, now: float) -> Metric:
+        """Return how many workers state a rate limit in their responses to gateways, by service."""
         family = GaugeMetricFamily(
             "corkcrank_limited_workers",
             "Workers that state a limit of requests per second, by service.",
--- a/src/corkcrank/node/streams/events.py
+++ b/src/corkcrank/node/streams/events.py
@@ -5,6 +5,7 @@
 
 _END = re.compile(rb"\n\n|\r\n\r\n|\r\r")
 _MAX_END_BYTES = 4
+"""Length of the longest end of an event, CR LF CR LF."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/corkcrank/node/streams/stream_part.py
+++ b/src/corkcrank/node/streams/stream_part.py
@@ -84,7 +84,10 @@
             self.first_event_at = now
 
     def progressed(self, now: float) -> bool:
-        """Return whether the engine worked for longer than it takes a request to crash it."""
+        """Return whether the engine ran for more than ``EARLY_RUN_SECONDS`` after its first event.
+
+        A request that crashes its engine usually does so earlier.
+        """
         return self.first_event_at is not None and now - self.first_event_at > EARLY_RUN_SECONDS
 
     def is_stream_end(self) -> bool:
@@ -132,5 +135,6 @@
     def _is_next(self, event_id: int) -> bool:
         if self._position is not None:
             return event_id == self._position + 1
-        # If a caller resumes after an id that is no number, any first id may be right.
+        # If the caller resumes after an id that is not a number, the next id is unknown; any is
+        # accepted.
         return bool(self.resume_after) or event_id in FIRST_EVENT_IDS
--- a/src/corkcrank/node/streams/stream_run.py
+++ b/src/corkcrank/node/streams/stream_run.py
@@ -53,7 +53,7 @@
         return self._call.answer_begun
 
     def fits_before_stop(self) -> bool:
-        """Return whether the call may have run already or usually ends before the stop."""
+        """Return whether an engine may have run the call, or it should end before the stop."""
         return self._call.may_have_run or self._admission.ends_before_stop()
 
     def answer_at_stop(self) -> web.StreamResponse | Refusal:
@@ -163,7 +163,10 @@
         return engine
 
     async def _request_turn(self, chosen: WorkerRecord) -> PrefillVerdict:
-        """Request a turn from the owner of the chosen engine's zone, then from other zones."""
+        """Request a turn, which the owner of a zone's engines grants.
+
+        The owner of the chosen engine's zone is asked first, then the owners of other zones.
+        """
         services = self._services
         long = services.prompt_sizes.has_long_prompts(self._call.route.name)
         turn = await services.prefill_grants.request_grant(self._call, chosen, long=long)
--- a/src/corkcrank/platform/names.py
+++ b/src/corkcrank/platform/names.py
@@ -19,7 +19,10 @@
 SERVER_LIMIT = "Server-Limit"
 PREFIXED_SERVER_LIMIT = "X-Corkcrank-Server-Limit"
 
-# Request headers that pass the gateway's decisions to workers.
+# Request headers that pass a gateway's decisions to workers. This gateway sends none of them,
+# EXPECT_VERSION included; they are listed so that callers' values are dropped.
+# "Hold" in a header is a reservation, and "Kv-From" the source of a cache; the "Server-Seal" of
+# SEAL above is a worker's signature.
 EXPECT_VERSION = "X-Corkcrank-Expect-Version"
 REQUEST_PRIORITY = "X-Corkcrank-Request-Priority"
 RESERVATION = "X-Corkcrank-Hold"
