--- a/src/corkcrank/machines/store_contact.py
+++ b/src/corkcrank/machines/store_contact.py
@@ -1,7 +1,8 @@
 """The newest known answer of the store about a table, as members report it to each other.
 
 Only a few members ask the store. Every member reports the newest answer that it knows, with the
-time on the store's monotonic clock, so that an answer counts once however often it is forwarded.
+time on the store's clock, which never runs backwards, so that an answer counts once however often
+it is forwarded.
 If they reported only its age, each hop would omit the transit time, and the age of an answer that
 circulates among members would stop rising.
 """
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContact:
-    """An answer of the store, and its time of receipt on the local monotonic clock."""
+    """An answer of the store, and its time of receipt on the local clock."""
 
     store_time: float = float("-inf")
     received_at: float = float("-inf")
--- a/tests/core/test_caller_lost_in_stream.py
+++ b/tests/core/test_caller_lost_in_stream.py
@@ -46,7 +46,7 @@
         finally:
             self.closed = True
 
-    async def cancel(self, address: str, attempt: str) -> None:
+    async def cancel_attempt(self, address: str, attempt: str) -> None:
         self.cancelled.append(attempt)
 
 
